--- a/fuzz/frames.cpp
+++ b/fuzz/frames.cpp
@@ -10,7 +10,7 @@
   if (r.kind == platform::ParseResult::Kind::kFrame && r.size > size) __builtin_trap();
   platform::field(bytes, "load");
   sim::NetworkOptions options;
-  options.most_piece = 9;
+  options.max_segment_bytes = 9;
   sim::Network net(options);
   struct Invoker : io::ConnectionEvents {
     std::unique_ptr<io::Connection> c;
--- a/fuzz/front.cpp
+++ b/fuzz/front.cpp
@@ -10,7 +10,7 @@
   if (parsed.kind == front::Parsed::Kind::kRequest && parsed.request.body.size() > front::kMostBody)
     __builtin_trap();
   sim::NetworkOptions options;
-  options.most_piece = 7;
+  options.max_segment_bytes = 7;
   sim::Network net(options);
   struct Echo : front::Server::Events {
     front::Server* server = nullptr;
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -184,7 +184,7 @@
 std::optional<platform::LoadValue> load_value(wire::ReportColumn column) {
   using platform::LoadValue;
   switch (column) {
-    case wire::ReportColumn::kInHand: return LoadValue::kInHand;
+    case wire::ReportColumn::kInFlight: return LoadValue::kInHand;
     case wire::ReportColumn::kWaiting: return LoadValue::kWaiting;
     case wire::ReportColumn::kBusyCores: return LoadValue::kBusyCores;
     case wire::ReportColumn::kRunMs: return LoadValue::kRunMs;
@@ -242,7 +242,7 @@
   std::string pairs;
   flatten(settings, "", pairs);
   wire::LaunchSettings launch = wire::parse_settings(pairs);
-  c.unread = std::move(launch.unread);
+  c.unread = std::move(launch.unknown_keys);
   c.settings.module = std::move(launch.settings);
   c.settings.class_names = names_in(settings, "classes");
   c.settings.tenant_names = names_in(settings, "tenants");
--- a/src/sim/network.cpp
+++ b/src/sim/network.cpp
@@ -164,7 +164,8 @@
     if (link->over) return;
     if (silent_.contains(link->to) || !here.reading) return;  // stays on the wire: the writer sees it unsent
     std::size_t n = here.wire.size();
-    if (options_.most_piece > 0) n = std::min<std::size_t>(n, 1 + random() % options_.most_piece);
+    if (options_.max_segment_bytes > 0)
+      n = std::min<std::size_t>(n, 1 + random() % options_.max_segment_bytes);
     here.inbox.append(here.wire, 0, n);
     const bool drained = here.wire.size() >= kLowMark && here.wire.size() - n < kLowMark;
     here.wire.erase(0, n);
--- a/src/sim/network.h
+++ b/src/sim/network.h
@@ -18,7 +18,7 @@
   std::uint64_t seed = 1;
   Duration least_delay = std::chrono::microseconds(50);
   Duration most_delay = std::chrono::microseconds(400);
-  std::size_t most_piece = 0;  // bytes delivered at once are cut to pieces of 1 to this; 0: not cut
+  std::size_t max_segment_bytes = 0;  // bytes delivered at once are cut to pieces of 1 to this; 0: not cut
 };
 
 class Network : public io::Host {
@@ -29,7 +29,7 @@
   // ---- Host ----
   Time now() const override { return now_; }
   std::int64_t unix_ms() const override {
-    return kEpochMs + wall_shift_ms +
+    return kEpochMs + wall_clock_offset_ms +
            std::chrono::duration_cast<std::chrono::milliseconds>(now_.time_since_epoch()).count();
   }
   std::uint64_t random() override;
@@ -47,7 +47,7 @@
   void after(Duration delay, std::function<void()> what);
 
   // ---- Trouble ----
-  std::int64_t wall_shift_ms = 0;                       // a jump of the wall clock
+  std::int64_t wall_clock_offset_ms = 0;                // a jump of the wall clock
   void break_connections(const io::Address& to);        // all that were made to this address are reset
   void set_silent(const io::Address& to, bool silent);  // bytes both ways are held back, nothing is reset
   // Connections made to it from now on come up so much later.
--- a/src/wire/host.cpp
+++ b/src/wire/host.cpp
@@ -4,7 +4,7 @@
 #include <limits>
 #include <string>
 
-#include "wire/words.h"
+#include "wire/codes.h"
 
 namespace laureltide::wire {
 namespace {
@@ -49,7 +49,7 @@
   for (std::size_t i = 0; i < n; ++i) {
     const float value = in.f32();
     switch (i < columns.size() ? columns[i] : ReportColumn::kUnknown) {
-      case ReportColumn::kInHand: report.in_hand = value; break;
+      case ReportColumn::kInFlight: report.in_hand = value; break;
       case ReportColumn::kWaiting: report.waiting = value; break;
       case ReportColumn::kBusyCores: report.busy_cores = value; break;
       case ReportColumn::kRunMs: report.run_ms = value; break;
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -135,7 +135,7 @@
 }
 
 ReportColumn column_of(std::string_view word, const Pairs& pairs) {
-  if (word == "active") return ReportColumn::kInHand;
+  if (word == "active") return ReportColumn::kInFlight;
   if (word == "waiting") return ReportColumn::kWaiting;
   if (word == "cpu") return ReportColumn::kBusyCores;
   if (word == "avg_ms") return ReportColumn::kRunMs;
@@ -203,7 +203,7 @@
   s.me = static_cast<std::uint32_t>(pairs.whole("me", 0));
   s.replicas = static_cast<std::uint32_t>(pairs.whole("replicas_of_me", 1));
   for (std::string_view word : pairs.list("stats.columns")) launch.columns.push_back(column_of(word, pairs));
-  launch.unread = pairs.unread();
+  launch.unknown_keys = pairs.unread();
   return launch;
 }
 
--- a/src/wire/settings.h
+++ b/src/wire/settings.h
@@ -12,7 +12,7 @@
 // The values of a load report, in the order in which the deployment sends them.
 enum class ReportColumn {
   kUnknown,
-  kInHand,
+  kInFlight,
   kWaiting,
   kBusyCores,
   kRunMs,
@@ -25,7 +25,7 @@
 struct LaunchSettings {
   Settings settings;
   std::vector<ReportColumn> columns;
-  std::vector<std::string> unread;  // keys that were given and mean nothing here
+  std::vector<std::string> unknown_keys;  // keys that were given and mean nothing here
 };
 
 // Throws Malformed for what cannot be used; unknown keys are ignored and absent optional ones keep
--- a/tests/controller/gateway_test.cpp
+++ b/tests/controller/gateway_test.cpp
@@ -570,7 +570,7 @@
   town.say(1, WorkerState::kReady, started);
   town.start();
   ASSERT_TRUE(town.wait_answer(town.call("gate")));
-  town.net.wall_shift_ms = -86'400'000;
+  town.net.wall_clock_offset_ms = -86'400'000;
   town.say(1, WorkerState::kReady, started);  // the same start: no restart, so it is not cold
   town.net.run_for(20ms);
   std::vector<std::string> names;
--- a/tests/layers/agent_test.cpp
+++ b/tests/layers/agent_test.cpp
@@ -484,10 +484,10 @@
   publish("decoder", noise(kSize, 1));
   start();
   ASSERT_TRUE(run(ask("decoder")));
-  net.wall_shift_ms += 365LL * 86'400'000;
+  net.wall_clock_offset_ms += 365LL * 86'400'000;
   net.run_for(5s);
   agent->renew("w1", "life-1");
-  net.wall_shift_ms -= 2 * 365LL * 86'400'000;
+  net.wall_clock_offset_ms -= 2 * 365LL * 86'400'000;
   net.run_for(5s);
   EXPECT_EQ(agent->pins(), 1U);
 }
--- a/tests/ledger/book_test.cpp
+++ b/tests/ledger/book_test.cpp
@@ -205,7 +205,7 @@
   book->take(key, call(true));
   book->answer(key, served(), [] {});
   book->delivered(key, Delivered::kKept, 60'000);
-  net.wall_shift_ms = 1000LL * 3600 * 24 * 400;
+  net.wall_clock_offset_ms = 1000LL * 3600 * 24 * 400;
   net.run_for(30s);
   EXPECT_TRUE(book->find(key));
   net.run_for(40s);
--- a/tests/node/outage_test.cpp
+++ b/tests/node/outage_test.cpp
@@ -43,7 +43,7 @@
   sim::NetworkOptions network_options(std::uint64_t seed) {
     sim::NetworkOptions options;
     options.seed = seed;
-    options.most_piece = 300;  // events come in pieces
+    options.max_segment_bytes = 300;  // events come in pieces
     return options;
   }
   sim::Network net{network_options(1)};
@@ -370,7 +370,7 @@
   for (int round = 0; round < 8; ++round) {
     const auto form = static_cast<Form>(round % 4);
     begin(form);
-    net.wall_shift_ms += round % 2 == 0 ? 3'600'000 : -7'200'000;
+    net.wall_clock_offset_ms += round % 2 == 0 ? 3'600'000 : -7'200'000;
     traffic(round % 2 == 0 ? 1s : 7s);
     const int worker = round / 2;
     if (round % 2 == 1) drain(worker);
--- a/tests/town.h
+++ b/tests/town.h
@@ -140,8 +140,8 @@
   int named = 0;
 
   explicit Town(int count = 2, std::uint64_t seed = 1,
-                std::shared_ptr<const config::Settings> with = settings(), std::size_t most_piece = 0)
-      : net({seed, 50us, 400us, most_piece}),
+                std::shared_ptr<const config::Settings> with = settings(), std::size_t max_segment_bytes = 0)
+      : net({seed, 50us, 400us, max_segment_bytes}),
         broker(net, {}, tape),
         list(net, tape),
         config(std::move(with)) {
