--- a/src/sim/network.h
+++ b/src/sim/network.h
@@ -1,8 +1,9 @@
-// The seam's host in virtual time: a seeded network of byte streams in one process.
+// A simulated network: implements io::Host in virtual time, with seeded byte streams inside one process.
 //
-// Runs the same controller, machines and stand-ins as the real host, thousands of times faster and the same
-// way for the same seed. Bytes of a connection keep their order; each write takes a drawn delay and may be
-// delivered in pieces. Trouble is ordered by address: refused connections, broken ones, silence.
+// Runs the same controller, protocol code and stand-ins as the real host, thousands of times faster and
+// reproducibly: the same seed gives the same run. The bytes of a connection keep their order; each write is
+// delivered after a random delay, optionally in segments. Tests inject faults by address: connections that
+// are refused, reset or slow to open, and addresses that do not respond.
 #pragma once
 
 #include <deque>
@@ -14,13 +15,15 @@
 
 namespace laureltide::sim {
 
+// Delay and segmentation of deliveries, drawn from `seed`.
 struct NetworkOptions {
   std::uint64_t seed = 1;
-  Duration least_delay = std::chrono::microseconds(50);
-  Duration most_delay = std::chrono::microseconds(400);
-  std::size_t max_segment_bytes = 0;  // bytes delivered at once are cut to pieces of 1 to this; 0: not cut
+  Duration min_delay = std::chrono::microseconds(50);
+  Duration max_delay = std::chrono::microseconds(400);
+  std::size_t max_segment_bytes = 0;  // delivers bytes in random segments of 1 to this size; 0: unsplit
 };
 
+// The host and its network. Single-threaded: callbacks run inside step(), run_for() and run_until().
 class Network : public io::Host {
  public:
   explicit Network(NetworkOptions options = {});
@@ -40,47 +43,57 @@
                                        Accept accept) override;
 
   // ---- Running ----
-  bool step();                  // the next event; false when there is none
-  void run_for(Duration span);  // all events up to now + span, and the clock moves there
-  // Runs until `done` holds; false if that took longer than `most`.
-  bool run_until(const std::function<bool()>& done, Duration most = std::chrono::seconds(60));
-  void after(Duration delay, std::function<void()> what);
+  bool step();                  // runs the next event; false when there is none
+  void run_for(Duration span);  // runs all events up to now + span and sets the clock to that time
+  // Runs events until `done` returns true; returns false if that takes longer than `limit`.
+  bool run_until(const std::function<bool()>& done, Duration limit = std::chrono::seconds(60));
+  void after(Duration delay, std::function<void()> callback);
 
-  // ---- Trouble ----
-  std::int64_t wall_clock_offset_ms = 0;                // a jump of the wall clock
-  void break_connections(const io::Address& to);        // all that were made to this address are reset
-  void set_silent(const io::Address& to, bool silent);  // bytes both ways are held back, nothing is reset
-  // Connections made to it from now on come up so much later.
+  // ---- Faults ----
+  std::int64_t wall_clock_offset_ms = 0;          // change it to make the wall clock jump
+  void break_connections(const io::Address& to);  // resets all connections made to this address
+  // While an address is silent, bytes in both directions are held back and connection attempts time out.
+  // Nothing is reset; the bytes are delivered once the address responds again.
+  void set_silent(const io::Address& to, bool silent);
+  // Adds a delay to the opening of connections that are made to this address from now on.
   void set_connect_delay(const io::Address& to, Duration delay) { connect_delays_[to] = delay; }
-  std::size_t connections(const io::Address& to) const;
-  std::size_t unsent(const io::Address& to) const;  // bytes on their way to the listener there
+
+  // ---- Inspection ----
+  std::size_t connections(const io::Address& to) const;  // open connections made to this address
+  std::size_t unsent(const io::Address& to) const;       // bytes in transit to the listener at this address
 
  private:
   static constexpr std::int64_t kEpochMs = 1'700'000'000'000;
-  class Stream;
+  class SimConnection;
   class SimTimer;
   class SimListener;
   struct Link;
+  // Ordered by time, then by the order of scheduling; the earliest is at the top of the priority queue.
   struct Event {
     Time at;
-    std::uint64_t order;
-    std::function<void()> what;
-    bool operator<(const Event& o) const { return std::tie(o.at, o.order) < std::tie(at, order); }
+    std::uint64_t sequence;
+    std::function<void()> callback;
+    bool operator<(const Event& other) const {
+      return std::tie(other.at, other.sequence) < std::tie(at, sequence);
+    }
   };
 
-  Duration delay();
-  void pump(const std::shared_ptr<Link>& link, int to);
-  void deliver(const std::shared_ptr<Link>& link, int to);
-  void end(const std::shared_ptr<Link>& link, int at, io::Closed why);
+  Duration random_delay();
+  // Schedules the next arrival at one end of the link, unless one is scheduled already.
+  void schedule_arrival(const std::shared_ptr<Link>& link, int receiver);
+  // Passes the bytes that have arrived at this end to its owner.
+  void deliver(const std::shared_ptr<Link>& link, int receiver);
+  // Closes the link and notifies one end of it.
+  void close(const std::shared_ptr<Link>& link, int notified_end, io::Closed reason);
 
   NetworkOptions options_;
   Time now_{};
-  std::uint64_t state_;
-  std::uint64_t order_ = 0;
+  std::uint64_t random_state_;
+  std::uint64_t next_sequence_ = 0;
   std::priority_queue<Event> events_;
   std::map<io::Address, SimListener*> listeners_;
   std::set<std::shared_ptr<Link>> links_;
-  std::set<io::Address> silent_;
+  std::set<io::Address> silent_addresses_;
   std::map<io::Address, Duration> connect_delays_;
   std::uint16_t next_port_ = 20000;
 };
