--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -4,22 +4,23 @@
 
 namespace laureltide::wire {
 
-void Reader::fail(std::string_view why) const {
-  throw Malformed(std::string(what_) + " at byte " + std::to_string(at_) + ": " + std::string(why));
+void Reader::fail(std::string_view reason) const {
+  throw Malformed(std::string(record_name_) + " at byte " + std::to_string(position_) + ": " +
+                  std::string(reason));
 }
 
-std::uint64_t Reader::number(std::size_t width) {
-  std::uint64_t v = 0;
-  for (std::byte b : take(width)) v = (v << 8) | std::to_integer<std::uint64_t>(b);
-  return v;
+std::uint64_t Reader::big_endian(std::size_t width) {
+  std::uint64_t value = 0;
+  for (std::byte byte : take(width)) value = (value << 8) | std::to_integer<std::uint64_t>(byte);
+  return value;
 }
 
 float Reader::f32() { return std::bit_cast<float>(u32()); }
 
 std::span<const std::byte> Reader::take(std::size_t count) {
-  if (count > bytes_.size() - at_) fail("record is too short");
-  const auto part = bytes_.subspan(at_, count);
-  at_ += count;
+  if (count > bytes_.size() - position_) fail("record is too short");
+  const auto part = bytes_.subspan(position_, count);
+  position_ += count;
   return part;
 }
 
@@ -28,25 +29,26 @@
   return {reinterpret_cast<const char*>(part.data()), part.size()};
 }
 
-void Writer::number(std::uint64_t v, std::size_t width) {
-  for (std::size_t i = width; i-- > 0;) out_.push_back(static_cast<std::byte>(v >> (8 * i)));
+void Writer::big_endian(std::uint64_t value, std::size_t width) {
+  for (std::size_t i = width; i-- > 0;) buffer_.push_back(static_cast<std::byte>(value >> (8 * i)));
 }
 
-void Writer::text(std::string_view t) { bytes(std::as_bytes(std::span(t.data(), t.size()))); }
+void Writer::text(std::string_view source) { bytes(std::as_bytes(std::span(source.data(), source.size()))); }
 
 BatchHeader read_batch_header(Reader& in) {
   BatchHeader header;
-  header.records = in.u32();
-  header.clock_ns = in.u64();
-  header.number = in.u32();
+  header.record_count = in.u32();
+  header.time_ns = in.u64();
+  header.batch_number = in.u32();
   return header;
 }
 
-std::vector<std::byte> reply_frame(std::uint32_t number, std::uint32_t records, const Writer& body) {
+std::vector<std::byte> reply_frame(std::uint32_t batch_number, std::uint32_t record_count,
+                                   const Writer& body) {
   Writer frame;
-  frame.u32(static_cast<std::uint32_t>(kReplyHeaderRest + body.buffer().size()));
-  frame.u32(records);
-  frame.u32(number);
+  frame.u32(static_cast<std::uint32_t>(kReplyHeaderBytes + body.buffer().size()));
+  frame.u32(record_count);
+  frame.u32(batch_number);
   frame.bytes(body.buffer());
   return frame.buffer();
 }
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,4 +1,4 @@
-// Frames and bounds-checked reads and writes of the big-endian wire.
+// Frames of the simulator's big-endian binary protocol, with bounds-checked reads.
 #pragma once
 
 #include <cstddef>
@@ -11,69 +11,76 @@
 
 namespace laureltide::wire {
 
-// Input that the wire page does not allow; the text names what and where.
+// Input that violates the protocol; the message says which record and where.
 class Malformed : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Reads fields one after another and throws Malformed rather than read past the end.
+// Reads fields in sequence. Throws Malformed instead of reading past the end.
 class Reader {
  public:
-  Reader(std::span<const std::byte> bytes, std::string_view what) : bytes_(bytes), what_(what) {}
+  Reader(std::span<const std::byte> bytes, std::string_view record_name)
+      : bytes_(bytes), record_name_(record_name) {}
 
-  std::uint8_t u8() { return static_cast<std::uint8_t>(number(1)); }
-  std::uint16_t u16() { return static_cast<std::uint16_t>(number(2)); }
-  std::uint32_t u32() { return static_cast<std::uint32_t>(number(4)); }
-  std::uint64_t u64() { return number(8); }
+  std::uint8_t u8() { return static_cast<std::uint8_t>(big_endian(1)); }
+  std::uint16_t u16() { return static_cast<std::uint16_t>(big_endian(2)); }
+  std::uint32_t u32() { return static_cast<std::uint32_t>(big_endian(4)); }
+  std::uint64_t u64() { return big_endian(8); }
   float f32();
   std::span<const std::byte> take(std::size_t count);
   std::string_view text(std::size_t count);
 
-  void name(std::string_view what) { what_ = what; }
-  bool done() const { return at_ == bytes_.size(); }
-  std::size_t position() const { return at_; }
-  [[noreturn]] void fail(std::string_view why) const;
+  void set_record_name(std::string_view name) { record_name_ = name; }
+  bool done() const { return position_ == bytes_.size(); }
+  std::size_t position() const { return position_; }
+  // Throws Malformed with the record name, the position and the reason.
+  [[noreturn]] void fail(std::string_view reason) const;
 
  private:
-  std::uint64_t number(std::size_t width);
+  std::uint64_t big_endian(std::size_t width);
 
   std::span<const std::byte> bytes_;
-  std::string_view what_;
-  std::size_t at_ = 0;
+  std::string_view record_name_;
+  std::size_t position_ = 0;
 };
 
-// Appends fields to a buffer.
+// Appends big-endian fields to a buffer.
 class Writer {
  public:
-  void u8(std::uint8_t v) { number(v, 1); }
-  void u16(std::uint16_t v) { number(v, 2); }
-  void u32(std::uint32_t v) { number(v, 4); }
-  void u64(std::uint64_t v) { number(v, 8); }
-  void bytes(std::span<const std::byte> b) { out_.insert(out_.end(), b.begin(), b.end()); }
-  void text(std::string_view t);
-  const std::vector<std::byte>& buffer() const { return out_; }
-  void clear() { out_.clear(); }
+  void u8(std::uint8_t value) { big_endian(value, 1); }
+  void u16(std::uint16_t value) { big_endian(value, 2); }
+  void u32(std::uint32_t value) { big_endian(value, 4); }
+  void u64(std::uint64_t value) { big_endian(value, 8); }
+  void bytes(std::span<const std::byte> source) {
+    buffer_.insert(buffer_.end(), source.begin(), source.end());
+  }
+  void text(std::string_view source);
+  const std::vector<std::byte>& buffer() const { return buffer_; }
+  void clear() { buffer_.clear(); }
 
  private:
-  void number(std::uint64_t v, std::size_t width);
+  void big_endian(std::uint64_t value, std::size_t width);
 
-  std::vector<std::byte> out_;
+  std::vector<std::byte> buffer_;
 };
 
+// Header of a batch, without the length field of its frame.
 struct BatchHeader {
-  std::uint32_t records = 0;
-  std::uint64_t clock_ns = 0;
-  std::uint32_t number = 0;
+  std::uint32_t record_count = 0;
+  std::uint64_t time_ns = 0;
+  std::uint32_t batch_number = 0;
 };
 
-inline constexpr std::size_t kLengthBytes = 4;
-inline constexpr std::size_t kBatchHeaderRest = 16;  // behind the length
-inline constexpr std::size_t kReplyHeaderRest = 8;
+// Sizes of the length field of a frame and of the headers that follow it.
+inline constexpr std::size_t kFrameLengthBytes = 4;
+inline constexpr std::size_t kBatchHeaderBytes = 16;
+inline constexpr std::size_t kReplyHeaderBytes = 8;
 
 BatchHeader read_batch_header(Reader& in);
 
-// The whole reply frame: its header and the records written so far.
-std::vector<std::byte> reply_frame(std::uint32_t number, std::uint32_t records, const Writer& body);
+// Returns a complete reply frame: length field, header and the records in `body`.
+std::vector<std::byte> reply_frame(std::uint32_t batch_number, std::uint32_t record_count,
+                                   const Writer& body);
 
 }  // namespace laureltide::wire
--- a/src/wire/host.cpp
+++ b/src/wire/host.cpp
@@ -9,32 +9,32 @@
 namespace laureltide::wire {
 namespace {
 
-Time time_at(std::uint64_t ns) {
-  constexpr std::uint64_t kLast = std::numeric_limits<Duration::rep>::max();
-  return Time(Duration(static_cast<Duration::rep>(std::min(ns, kLast))));
+Time to_time(std::uint64_t ns) {
+  constexpr std::uint64_t kLatest = std::numeric_limits<Duration::rep>::max();
+  return Time(Duration(static_cast<Duration::rep>(std::min(ns, kLatest))));
 }
 
-Duration span_of(std::uint64_t ns) { return time_at(ns).time_since_epoch(); }
+Duration to_duration(std::uint64_t ns) { return to_time(ns).time_since_epoch(); }
 
-std::uint64_t nanoseconds(Duration d) { return d.count() > 0 ? static_cast<std::uint64_t>(d.count()) : 0; }
+std::uint64_t to_nanoseconds(Duration d) { return d.count() > 0 ? static_cast<std::uint64_t>(d.count()) : 0; }
 
-Outcome outcome_of(Reader& in) {
-  switch (static_cast<StateCode>(in.u8())) {
-    case StateCode::kOk: return Outcome::kOk;
-    case StateCode::kError: return Outcome::kError;
-    case StateCode::kFull: return Outcome::kFull;
-    case StateCode::kTimeout: return Outcome::kTimeout;
-    case StateCode::kConnectFailed: return Outcome::kConnectFailed;
-    case StateCode::kReset: return Outcome::kReset;
-    case StateCode::kCancelled: return Outcome::kCancelled;
-    case StateCode::kMoot: return Outcome::kMoot;
-    case StateCode::kMiss: return Outcome::kMiss;
+Outcome read_outcome(Reader& in) {
+  switch (static_cast<OutcomeCode>(in.u8())) {
+    case OutcomeCode::kOk: return Outcome::kOk;
+    case OutcomeCode::kError: return Outcome::kError;
+    case OutcomeCode::kFull: return Outcome::kFull;
+    case OutcomeCode::kTimeout: return Outcome::kTimeout;
+    case OutcomeCode::kConnectFailed: return Outcome::kConnectFailed;
+    case OutcomeCode::kReset: return Outcome::kReset;
+    case OutcomeCode::kCancelled: return Outcome::kCancelled;
+    case OutcomeCode::kNotRun: return Outcome::kMoot;
+    case OutcomeCode::kMiss: return Outcome::kMiss;
   }
   in.fail("unknown outcome code");
 }
 
-Found found_of(int note) {
-  switch (note) {
+Found to_found(int code) {
+  switch (code) {
     case 1: return Found::kLoaded;
     case 2: return Found::kBeganLoad;
     case 3: return Found::kAwaitedLoad;
@@ -43,10 +43,10 @@
   }
 }
 
-LoadReport report_of(Reader& in, const std::vector<ReportColumn>& columns) {
+LoadReport read_load_report(Reader& in, const std::vector<ReportColumn>& columns) {
   LoadReport report;
-  const std::size_t n = in.u8();
-  for (std::size_t i = 0; i < n; ++i) {
+  const std::size_t count = in.u8();
+  for (std::size_t i = 0; i < count; ++i) {
     const float value = in.f32();
     switch (i < columns.size() ? columns[i] : ReportColumn::kUnknown) {
       case ReportColumn::kInFlight: report.in_hand = value; break;
@@ -63,7 +63,7 @@
   return report;
 }
 
-WorkerEntry entry_of(Reader& in) {
+WorkerEntry read_worker_entry(Reader& in) {
   WorkerEntry entry;
   entry.id = static_cast<WorkerId>(in.u32());
   entry.zone = in.u16();
@@ -73,19 +73,19 @@
     case 0: entry.state = WorkerState::kGone; break;
     case 1: entry.state = WorkerState::kReady; break;
     case 2: entry.state = WorkerState::kDraining; break;
-    default: in.fail("unknown state of a list entry");
+    default: in.fail("unknown state of a worker list entry");
   }
   entry.size = in.f32();
-  if (const std::uint64_t started = in.u64(); started != 0) entry.started = time_at(started);
+  if (const std::uint64_t started = in.u64(); started != 0) entry.started = to_time(started);
   return entry;
 }
 
 }  // namespace
 
-// One dispatcher and its voice: actions become records of the reply that is being built.
-class Host::Instance : public ActionSink {
+// A dispatcher and its action sink, which appends each action as a record to the reply being built.
+class Host::HostedDispatcher : public ActionSink {
  public:
-  Instance(Host& host, std::uint16_t id, LaunchSettings launch, std::uint64_t seed, Time now)
+  HostedDispatcher(Host& host, std::uint16_t id, LaunchSettings launch, std::uint64_t seed, Time now)
       : host_(host),
         id_(id),
         columns(std::move(launch.columns)),
@@ -93,64 +93,64 @@
         dispatcher(std::move(launch.settings), seed, now, *this) {}
 
   void send(RequestId request, WorkerId worker, Duration give_up_after) override {
-    Writer& out = begin(ActionCode::kRoute);
-    out.u32(static_cast<std::uint32_t>(request));
-    out.u32(static_cast<std::uint32_t>(worker));
-    out.u64(nanoseconds(give_up_after));
+    Writer& record = begin_record(ActionCode::kSend);
+    record.u32(static_cast<std::uint32_t>(request));
+    record.u32(static_cast<std::uint32_t>(worker));
+    record.u64(to_nanoseconds(give_up_after));
   }
   void cancel(RequestId request, AttemptNumber attempt) override {
-    Writer& out = begin(ActionCode::kRevoke);
-    out.u32(static_cast<std::uint32_t>(request));
-    out.u8(attempt);
+    Writer& record = begin_record(ActionCode::kCancel);
+    record.u32(static_cast<std::uint32_t>(request));
+    record.u8(attempt);
   }
   void refuse(RequestId request, Duration retry_after) override {
-    Writer& out = begin(ActionCode::kTurnAway);
-    out.u32(static_cast<std::uint32_t>(request));
-    out.u64(nanoseconds(retry_after));
+    Writer& record = begin_record(ActionCode::kRefuse);
+    record.u32(static_cast<std::uint32_t>(request));
+    record.u64(to_nanoseconds(retry_after));
   }
   void fail(RequestId request) override {
-    begin(ActionCode::kError).u32(static_cast<std::uint32_t>(request));
+    begin_record(ActionCode::kFail).u32(static_cast<std::uint32_t>(request));
   }
   void hold(WorkerId worker, FunctionId function, int instances) override {
-    Writer& out = begin(ActionCode::kPinUp);
-    out.u32(static_cast<std::uint32_t>(worker));
-    out.u64(static_cast<std::uint64_t>(function));
-    out.u8(static_cast<std::uint8_t>(instances));
+    Writer& record = begin_record(ActionCode::kHold);
+    record.u32(static_cast<std::uint32_t>(worker));
+    record.u64(static_cast<std::uint64_t>(function));
+    record.u8(static_cast<std::uint8_t>(instances));
   }
   void release(WorkerId worker, FunctionId function) override {
-    Writer& out = begin(ActionCode::kFreeUp);
-    out.u64(static_cast<std::uint64_t>(function));
-    out.u32(static_cast<std::uint32_t>(worker));
+    Writer& record = begin_record(ActionCode::kRelease);
+    record.u64(static_cast<std::uint64_t>(function));
+    record.u32(static_cast<std::uint32_t>(worker));
   }
   void probe(WorkerId worker) override {
-    begin(ActionCode::kInspect).u32(static_cast<std::uint32_t>(worker));
+    begin_record(ActionCode::kProbe).u32(static_cast<std::uint32_t>(worker));
   }
   void wake(Duration delay, TimerToken token) override {
-    Writer& out = begin(ActionCode::kWakeMe);
-    out.u64(nanoseconds(delay));
-    out.u64(token);
+    Writer& record = begin_record(ActionCode::kWake);
+    record.u64(to_nanoseconds(delay));
+    record.u64(token);
   }
-  void subscribe(bool enable) override { begin(ActionCode::kFollow).u8(enable ? 1 : 0); }
-  void fetch_list() override { begin(ActionCode::kRefresh); }
+  void subscribe(bool enable) override { begin_record(ActionCode::kSubscribe).u8(enable ? 1 : 0); }
+  void fetch_list() override { begin_record(ActionCode::kFetchList); }
   void tell(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) override {
-    Writer& out = begin(ActionCode::kSignal);
-    out.u32(peer.value_or(kEveryPeer));
-    out.u16(static_cast<std::uint16_t>(bytes.size()));
-    out.bytes(bytes);
+    Writer& record = begin_record(ActionCode::kSendToPeer);
+    record.u32(peer.value_or(kAllPeers));
+    record.u16(static_cast<std::uint16_t>(bytes.size()));
+    record.bytes(bytes);
   }
   void log(std::string_view line) override {
-    Writer& out = begin(ActionCode::kEmit);
+    Writer& record = begin_record(ActionCode::kLog);
     line = line.substr(0, std::numeric_limits<std::uint16_t>::max());
-    out.u16(static_cast<std::uint16_t>(line.size()));
-    out.text(line);
+    record.u16(static_cast<std::uint16_t>(line.size()));
+    record.text(line);
   }
 
  private:
-  Writer& begin(ActionCode code) {
-    ++host_.records_;
-    host_.body_.u8(static_cast<std::uint8_t>(code));
-    host_.body_.u16(id_);
-    return host_.body_;
+  Writer& begin_record(ActionCode code) {
+    ++host_.reply_record_count_;
+    host_.reply_body_.u8(static_cast<std::uint8_t>(code));
+    host_.reply_body_.u16(id_);
+    return host_.reply_body_;
   }
 
   Host& host_;
@@ -162,152 +162,155 @@
   Dispatcher dispatcher;
 };
 
-std::vector<std::byte> Host::answer(std::span<const std::byte> batch) {
+std::vector<std::byte> Host::process_batch(std::span<const std::byte> batch) {
   Reader in(batch, "batch header");
   const BatchHeader header = read_batch_header(in);
-  body_.clear();
-  records_ = 0;
-  for (std::uint32_t i = 0; i < header.records; ++i) event(in, time_at(header.clock_ns));
-  in.name("batch");
-  if (!in.done()) in.fail("bytes are left behind the last record");
-  return reply_frame(header.number, records_, body_);
+  reply_body_.clear();
+  reply_record_count_ = 0;
+  for (std::uint32_t i = 0; i < header.record_count; ++i) handle_event(in, to_time(header.time_ns));
+  in.set_record_name("batch");
+  if (!in.done()) in.fail("bytes remain after the last record");
+  return reply_frame(header.batch_number, reply_record_count_, reply_body_);
 }
 
-Host::Instance& Host::instance(Reader& in) {
+Host::HostedDispatcher& Host::find_dispatcher(Reader& in) {
   const std::uint16_t id = in.u16();
-  const auto it = instances_.find(id);
-  if (it == instances_.end()) in.fail("instance " + std::to_string(id) + " was not launched");
+  const auto it = dispatchers_.find(id);
+  if (it == dispatchers_.end()) in.fail("instance " + std::to_string(id) + " was not launched");
   return *it->second;
 }
 
 void Host::launch(Reader& in, std::uint16_t id, Time now) {
   const std::uint64_t seed = in.u64();
   LaunchSettings settings = parse_settings(in.text(in.u32()));
-  instances_.insert_or_assign(id, std::make_shared<Instance>(*this, id, std::move(settings), seed, now));
+  dispatchers_.insert_or_assign(
+      id, std::make_shared<HostedDispatcher>(*this, id, std::move(settings), seed, now));
 }
 
-void Host::ledger(Reader& in) {
+void Host::read_worker_list(Reader& in) {
   const std::uint8_t number = in.u8();
-  if (number >= ledgers_.size()) in.fail("list number above 15");
-  Ledger& entries = ledgers_[number].emplace();
-  for (std::uint32_t n = in.u32(); n > 0; --n) entries.push_back(entry_of(in));
+  if (number >= worker_lists_.size()) in.fail("worker list number above 15");
+  WorkerList& entries = worker_lists_[number].emplace();
+  for (std::uint32_t left = in.u32(); left > 0; --left) entries.push_back(read_worker_entry(in));
 }
 
-void Host::event(Reader& in, Time now) {
-  in.name("event code");
+void Host::handle_event(Reader& in, Time now) {
+  in.set_record_name("event code");
   const auto code = static_cast<EventCode>(in.u8());
   switch (code) {
-    case EventCode::kLedger: in.name("ledger"); return ledger(in);
-    case EventCode::kLaunch: in.name("launch"); return launch(in, in.u16(), now);
+    case EventCode::kListContents: in.set_record_name("ledger"); return read_worker_list(in);
+    case EventCode::kLaunch: in.set_record_name("launch"); return launch(in, in.u16(), now);
     case EventCode::kRetire:
-      in.name("retire");
-      instances_.erase(in.u16());
+      in.set_record_name("retire");
+      dispatchers_.erase(in.u16());
       return;
-    case EventCode::kFleet: {
-      in.name("fleet");
-      Instance& to = instance(in);
+    case EventCode::kListUpdate: {
+      in.set_record_name("fleet");
+      HostedDispatcher& target = find_dispatcher(in);
       const std::uint8_t number = in.u8();
       const std::uint8_t scope = in.u8();
       ListUpdate update;
       update.version = in.u64();
-      if (scope > 3) in.fail("unknown scope");
+      if (scope > 3) in.fail("unknown scope of a list update");
       update.scope =
           std::array{ListScope::kChanges, ListScope::kFull, ListScope::kCached, ListScope::kFailed}[scope];
       if (update.scope != ListScope::kFailed) {
-        if (number >= ledgers_.size() || !ledgers_[number]) in.fail("list was never sent");
-        update.entries = *ledgers_[number];
+        if (number >= worker_lists_.size() || !worker_lists_[number])
+          in.fail("worker list was not sent before");
+        update.entries = *worker_lists_[number];
       }
-      return to.dispatcher.on(now, update);
+      return target.dispatcher.on(now, update);
     }
-    case EventCode::kArrival: {
-      in.name("arrival");
-      Instance& to = instance(in);
-      Request r;
-      r.id = static_cast<RequestId>(in.u32());
+    case EventCode::kRequestArrived: {
+      in.set_record_name("arrival");
+      HostedDispatcher& target = find_dispatcher(in);
+      Request request;
+      request.id = static_cast<RequestId>(in.u32());
       const std::uint64_t hint = in.u64();
-      r.request_class = in.u8();
-      if (r.request_class >= to.settings.classes.size()) in.fail("unknown class");
-      r.lanes = in.f32();
+      request.request_class = in.u8();
+      if (request.request_class >= target.settings.classes.size()) in.fail("unknown request class");
+      request.lanes = in.f32();
       const std::uint32_t tenant = in.u32();
-      if (tenant < to.settings.tenants.size()) r.tenant = tenant;
+      if (tenant < target.settings.tenants.size()) request.tenant = tenant;
       const float load_ms = in.f32();
-      constexpr float kLongestLoadMs = 1e9F;
-      if (load_ms > 0 && load_ms < kLongestLoadMs)
-        r.load_time = span_of(static_cast<std::uint64_t>(static_cast<double>(load_ms) * 1e6));
-      r.deadline = time_at(in.u64());
-      r.memory_mb = in.f32();
-      const std::uint8_t bits = in.u8();
-      if (bits & kHintValid) r.work_hint = span_of(hint);
-      r.client_repeat = bits & kClientRepeat;
-      r.write = bits & kIsWrite;
-      r.function = static_cast<FunctionId>(in.u64());
-      return to.dispatcher.on(now, r);
+      constexpr float kMaxLoadMs = 1e9F;
+      if (load_ms > 0 && load_ms < kMaxLoadMs)
+        request.load_time = to_duration(static_cast<std::uint64_t>(static_cast<double>(load_ms) * 1e6));
+      request.deadline = to_time(in.u64());
+      request.memory_mb = in.f32();
+      const std::uint8_t flags = in.u8();
+      if (flags & kWorkHintValid) request.work_hint = to_duration(hint);
+      request.client_repeat = flags & kClientRepeat;
+      request.write = flags & kIsWrite;
+      request.function = static_cast<FunctionId>(in.u64());
+      return target.dispatcher.on(now, request);
     }
-    case EventCode::kHeaders: {
-      in.name("headers");
-      Instance& to = instance(in);
-      StreamStarted s;
-      s.request = static_cast<RequestId>(in.u32());
-      s.worker = static_cast<WorkerId>(in.u32());
-      s.took = span_of(in.u64());
-      s.attempt = in.u8();
-      return to.dispatcher.on(now, s);
+    case EventCode::kStreamStarted: {
+      in.set_record_name("headers");
+      HostedDispatcher& target = find_dispatcher(in);
+      StreamStarted started;
+      started.request = static_cast<RequestId>(in.u32());
+      started.worker = static_cast<WorkerId>(in.u32());
+      started.took = to_duration(in.u64());
+      started.attempt = in.u8();
+      return target.dispatcher.on(now, started);
     }
-    case EventCode::kReturned: {
-      in.name("returned");
-      Instance& to = instance(in);
-      AttemptResult r;
-      r.request = static_cast<RequestId>(in.u32());
-      r.worker = static_cast<WorkerId>(in.u32());
+    case EventCode::kAttemptResult: {
+      in.set_record_name("returned");
+      HostedDispatcher& target = find_dispatcher(in);
+      AttemptResult result;
+      result.request = static_cast<RequestId>(in.u32());
+      result.worker = static_cast<WorkerId>(in.u32());
       const int info = in.u8();
-      r.attempt = in.u8();
-      r.outcome = outcome_of(in);
-      r.terminal = in.u8() != 0;
-      r.took = span_of(in.u64());
-      r.found = found_of(info & kFoundMask);
-      if (to.settings.instances.tells_company && (r.outcome == Outcome::kOk || r.outcome == Outcome::kFull))
-        r.company = info >> kCompanyShift;
-      r.report = report_of(in, to.columns);
-      return to.dispatcher.on(now, r);
+      result.attempt = in.u8();
+      result.outcome = read_outcome(in);
+      result.terminal = in.u8() != 0;
+      result.took = to_duration(in.u64());
+      result.found = to_found(info & kFoundMask);
+      if (target.settings.instances.tells_company &&
+          (result.outcome == Outcome::kOk || result.outcome == Outcome::kFull))
+        result.company = info >> kOtherRequestsShift;
+      result.report = read_load_report(in, target.columns);
+      return target.dispatcher.on(now, result);
     }
-    case EventCode::kAbandoned: {
-      in.name("abandoned");
-      Instance& to = instance(in);
-      return to.dispatcher.on(now, RequestAbandoned{static_cast<RequestId>(in.u32())});
+    case EventCode::kRequestAbandoned: {
+      in.set_record_name("abandoned");
+      HostedDispatcher& target = find_dispatcher(in);
+      return target.dispatcher.on(now, RequestAbandoned{static_cast<RequestId>(in.u32())});
     }
-    case EventCode::kTimer: {
-      in.name("timer");
-      Instance& to = instance(in);
-      return to.dispatcher.on(now, TimerFired{in.u64()});
+    case EventCode::kTimerFired: {
+      in.set_record_name("timer");
+      HostedDispatcher& target = find_dispatcher(in);
+      return target.dispatcher.on(now, TimerFired{in.u64()});
     }
-    case EventCode::kHealthResult: {
-      in.name("health_result");
-      Instance& to = instance(in);
-      ProbeResult r;
-      r.took = span_of(in.u64());
-      r.worker = static_cast<WorkerId>(in.u32());
-      r.outcome = outcome_of(in);
-      r.report = report_of(in, to.columns);
-      return to.dispatcher.on(now, r);
+    case EventCode::kProbeResult: {
+      in.set_record_name("health_result");
+      HostedDispatcher& target = find_dispatcher(in);
+      ProbeResult result;
+      result.took = to_duration(in.u64());
+      result.worker = static_cast<WorkerId>(in.u32());
+      result.outcome = read_outcome(in);
+      result.report = read_load_report(in, target.columns);
+      return target.dispatcher.on(now, result);
     }
-    case EventCode::kMemo: {
-      in.name("memo");
-      Instance& to = instance(in);
-      PeerMessage m;
-      m.from = in.u16();
-      m.bytes = in.take(in.u16());
-      return to.dispatcher.on(now, m);
+    case EventCode::kPeerMessage: {
+      in.set_record_name("memo");
+      HostedDispatcher& target = find_dispatcher(in);
+      PeerMessage message;
+      message.from = in.u16();
+      message.bytes = in.take(in.u16());
+      return target.dispatcher.on(now, message);
     }
-    case EventCode::kReadyThere: {
-      in.name("ready_there");
-      Instance& to = instance(in);
-      HoldResult r;
-      r.worker = static_cast<WorkerId>(in.u32());
-      r.function = static_cast<FunctionId>(in.u64());
-      r.outcome = outcome_of(in);
-      r.took = span_of(in.u64());
-      r.instances = in.u8();
-      return to.dispatcher.on(now, r);
+    case EventCode::kHoldResult: {
+      in.set_record_name("ready_there");
+      HostedDispatcher& target = find_dispatcher(in);
+      HoldResult result;
+      result.worker = static_cast<WorkerId>(in.u32());
+      result.function = static_cast<FunctionId>(in.u64());
+      result.outcome = read_outcome(in);
+      result.took = to_duration(in.u64());
+      result.instances = in.u8();
+      return target.dispatcher.on(now, result);
     }
   }
   in.fail("unknown event code " + std::to_string(static_cast<int>(code)));
--- a/src/wire/host.h
+++ b/src/wire/host.h
@@ -1,4 +1,5 @@
-// Hosts dispatchers for the instances of one process and translates between them and the wire.
+// Runs the dispatchers that the simulator launches in this process, and translates between their interface
+// and the simulator's binary protocol.
 #pragma once
 
 #include <array>
@@ -15,24 +16,26 @@
 
 namespace laureltide::wire {
 
+// Runs dispatchers, each under the number that the simulator launched it with.
 class Host {
  public:
-  // Takes a batch without its length field and gives the reply frame. Throws Malformed.
-  std::vector<std::byte> answer(std::span<const std::byte> batch);
+  // Applies a batch of events, given without its length field, and returns the reply frame with the actions
+  // that followed. Throws Malformed.
+  std::vector<std::byte> process_batch(std::span<const std::byte> batch);
 
  private:
-  class Instance;
-  using Ledger = std::vector<WorkerEntry>;
+  class HostedDispatcher;
+  using WorkerList = std::vector<WorkerEntry>;
 
-  void event(Reader& in, Time now);
-  void ledger(Reader& in);
+  void handle_event(Reader& in, Time now);
+  void read_worker_list(Reader& in);
   void launch(Reader& in, std::uint16_t id, Time now);
-  Instance& instance(Reader& in);
+  HostedDispatcher& find_dispatcher(Reader& in);
 
-  std::map<std::uint16_t, std::shared_ptr<Instance>> instances_;
-  std::array<std::optional<Ledger>, 16> ledgers_;
-  Writer body_;
-  std::uint32_t records_ = 0;
+  std::map<std::uint16_t, std::shared_ptr<HostedDispatcher>> dispatchers_;
+  std::array<std::optional<WorkerList>, 16> worker_lists_;
+  Writer reply_body_;
+  std::uint32_t reply_record_count_ = 0;
 };
 
 }  // namespace laureltide::wire
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -11,11 +11,12 @@
 namespace laureltide::wire {
 namespace {
 
-constexpr std::size_t kMostListed = 4096;  // classes or tenants; more is not a settings text
+constexpr std::size_t kMaxListEntries = 4096;  // classes or tenants; rejects absurd counts before allocating
 
-class Pairs {
+// The key=value pairs of a settings text, with typed access. Records which keys were read.
+class SettingsText {
  public:
-  explicit Pairs(std::string_view text) {
+  explicit SettingsText(std::string_view text) {
     std::size_t line_number = 0;
     while (!text.empty()) {
       const std::size_t end = text.find('\n');
@@ -32,57 +33,58 @@
     }
   }
 
-  std::string_view word(const std::string& key, std::string_view otherwise = {}) const {
+  std::string_view text_of(const std::string& key, std::string_view default_value = {}) const {
     const auto it = values_.find(key);
-    if (it == values_.end()) return otherwise;
+    if (it == values_.end()) return default_value;
     it->second.read = true;
     return it->second.text;
   }
 
-  std::vector<std::string> unread() const {
+  std::vector<std::string> unread_keys() const {
     std::vector<std::string> keys;
     for (const auto& [key, value] : values_)
       if (!value.read) keys.push_back(key);
     return keys;
   }
 
-  double number(const std::string& key, double otherwise) const {
-    const std::string_view text = word(key);
-    return text.empty() ? otherwise : parse_number(key, text);
+  double number(const std::string& key, double default_value) const {
+    const std::string_view text = text_of(key);
+    return text.empty() ? default_value : parse_number(key, text);
   }
 
-  // Durations saturate: a setting of "for ever" must not overflow sums with the clock.
+  // Durations saturate, so that a very long one does not overflow when it is added to the clock.
   Duration duration(const std::string& key) const {
-    constexpr double kLongest = 1e17;
-    const double ns = std::min(number(key, 0), kLongest);
+    constexpr double kMaxNanoseconds = 1e17;
+    const double ns = std::min(number(key, 0), kMaxNanoseconds);
     if (ns < 0) throw Malformed("settings " + key + ": negative");
     return Duration(static_cast<Duration::rep>(ns));
   }
 
-  bool flag(const std::string& key, bool otherwise) const {
-    const std::string_view text = word(key);
-    if (text.empty()) return otherwise;
+  bool flag(const std::string& key, bool default_value) const {
+    const std::string_view text = text_of(key);
+    if (text.empty()) return default_value;
     if (text == "true" || text == "1") return true;
     if (text == "false" || text == "0") return false;
     throw Malformed("settings " + key + ": '" + std::string(text) + "' is neither true nor false");
   }
 
   std::size_t count(const std::string& key) const {
-    const double n = number(key, 0);
-    if (n < 0 || n != std::floor(n) || n > static_cast<double>(kMostListed))
+    const double value = number(key, 0);
+    if (value < 0 || value != std::floor(value) || value > static_cast<double>(kMaxListEntries))
       throw Malformed("settings " + key + ": not a usable count");
-    return static_cast<std::size_t>(n);
+    return static_cast<std::size_t>(value);
   }
 
-  int whole(const std::string& key, int otherwise) const {
-    const double n = number(key, otherwise);
-    if (n < 0 || n > std::numeric_limits<int>::max()) throw Malformed("settings " + key + ": out of range");
-    return static_cast<int>(n);
+  int whole_number(const std::string& key, int default_value) const {
+    const double value = number(key, default_value);
+    if (value < 0 || value > std::numeric_limits<int>::max())
+      throw Malformed("settings " + key + ": out of range");
+    return static_cast<int>(value);
   }
 
   std::vector<std::string_view> list(const std::string& key) const {
     std::vector<std::string_view> parts;
-    std::string_view text = word(key);
+    std::string_view text = text_of(key);
     while (!text.empty()) {
       const std::size_t comma = text.find(',');
       parts.push_back(text.substr(0, comma));
@@ -95,7 +97,7 @@
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(value))
-      throw Malformed("settings " + key + ": '" + std::string(text) + "' is no number");
+      throw Malformed("settings " + key + ": '" + std::string(text) + "' is not a number");
     return value;
   }
 
@@ -107,34 +109,36 @@
   std::map<std::string, Value> values_;
 };
 
+// Reads a setting whose value is one of a fixed set of words.
 template <typename Value>
-Value choice(const Pairs& pairs, const std::string& key, Value otherwise,
+Value choice(const SettingsText& pairs, const std::string& key, Value default_value,
              std::initializer_list<std::pair<std::string_view, Value>> words) {
-  const std::string_view text = pairs.word(key);
-  if (text.empty()) return otherwise;
+  const std::string_view text = pairs.text_of(key);
+  if (text.empty()) return default_value;
   for (const auto& [word, value] : words)
     if (word == text) return value;
-  throw Malformed("settings " + key + ": unknown word '" + std::string(text) + "'");
+  throw Malformed("settings " + key + ": unknown value '" + std::string(text) + "'");
 }
 
-RequestClass read_class(const Pairs& pairs, const std::string& at) {
-  RequestClass c;
-  c.worth = pairs.number(at + "worth", 1);
-  c.late_worth = pairs.number(at + "late_worth", 0);
-  c.aim_stretch = pairs.number(at + "aim_stretch", 0);
-  c.target = pairs.duration(at + "target_ns");
-  c.give_up = pairs.duration(at + "give_up_ns");
-  c.semantics = choice(
-      pairs, at + "semantics", Semantics::kOnce,
+RequestClass read_class(const SettingsText& pairs, const std::string& prefix) {
+  RequestClass request_class;
+  request_class.worth = pairs.number(prefix + "worth", 1);
+  request_class.late_worth = pairs.number(prefix + "late_worth", 0);
+  request_class.aim_stretch = pairs.number(prefix + "aim_stretch", 0);
+  request_class.target = pairs.duration(prefix + "target_ns");
+  request_class.give_up = pairs.duration(prefix + "give_up_ns");
+  request_class.semantics = choice(
+      pairs, prefix + "semantics", Semantics::kOnce,
       {{"repeatable", Semantics::kRepeatable}, {"by_key", Semantics::kKeyed}, {"once", Semantics::kOnce}});
-  c.group = choice(pairs, at + "group", RepeatGroup::kCell,
-                   {{"all", RepeatGroup::kAll}, {"zone", RepeatGroup::kZone}, {"cell", RepeatGroup::kCell}});
-  c.repeat_window = pairs.duration(at + "window_ns");
-  c.streamed = pairs.flag(at + "streamed", false);
-  return c;
+  request_class.group =
+      choice(pairs, prefix + "group", RepeatGroup::kCell,
+             {{"all", RepeatGroup::kAll}, {"zone", RepeatGroup::kZone}, {"cell", RepeatGroup::kCell}});
+  request_class.repeat_window = pairs.duration(prefix + "window_ns");
+  request_class.streamed = pairs.flag(prefix + "streamed", false);
+  return request_class;
 }
 
-ReportColumn column_of(std::string_view word, const Pairs& pairs) {
+ReportColumn report_column(std::string_view word, const SettingsText& pairs) {
   if (word == "active") return ReportColumn::kInFlight;
   if (word == "waiting") return ReportColumn::kWaiting;
   if (word == "cpu") return ReportColumn::kBusyCores;
@@ -142,7 +146,7 @@
   if (word == "rps") return ReportColumn::kServed;
   if (word == "err_rps") return ReportColumn::kErrors;
   if (word != "x0" && word != "x1") return ReportColumn::kUnknown;
-  const std::string_view meaning = pairs.word("family_info.report_" + std::string(word));
+  const std::string_view meaning = pairs.text_of("family_info.report_" + std::string(word));
   if (meaning == "share_of_memory_that_is_at_work_or_loading") return ReportColumn::kMemory;
   if (meaning == "loads_under_way_or_waiting") return ReportColumn::kLoads;
   return ReportColumn::kUnknown;
@@ -151,59 +155,61 @@
 }  // namespace
 
 LaunchSettings parse_settings(std::string_view text) {
-  const Pairs pairs(text);
+  const SettingsText pairs(text);
   LaunchSettings launch;
-  Settings& s = launch.settings;
+  Settings& settings = launch.settings;
   const std::size_t classes = pairs.count("classes.count");
-  if (classes == 0) throw Malformed("settings classes.count: no classes");
+  if (classes == 0) throw Malformed("settings classes.count: at least one class is required");
   for (std::size_t i = 0; i < classes; ++i)
-    s.classes.push_back(read_class(pairs, "classes." + std::to_string(i) + "."));
+    settings.classes.push_back(read_class(pairs, "classes." + std::to_string(i) + "."));
   const std::size_t tenants = pairs.count("tenants.count");
   for (std::size_t i = 0; i < tenants; ++i) {
-    const std::string at = "tenants." + std::to_string(i) + ".";
-    s.tenants.push_back({pairs.number(at + "quota_per_s", 0), pairs.number(at + "share", 0)});
+    const std::string prefix = "tenants." + std::to_string(i) + ".";
+    settings.tenants.push_back({pairs.number(prefix + "quota_per_s", 0), pairs.number(prefix + "share", 0)});
   }
-  s.bounds.attempts_cap = pairs.whole("bounds.attempts_cap", 1);
-  s.bounds.may_cancel = pairs.flag("bounds.may_cancel", false);
-  s.bounds.may_duplicate = pairs.flag("bounds.may_duplicate", false);
-  s.bounds.peers = pairs.flag("bounds.peers", false);
-  s.bounds.probes = pairs.flag("bounds.probes", false);
-  s.bounds.retry_after = pairs.flag("bounds.retry_after", false);
-  s.bounds.max_retry_after = pairs.duration("bounds.max_retry_after_ns");
-  s.bounds.max_open = pairs.whole("bounds.most_held", 0);
-  s.bounds.dial_timeout = pairs.duration("bounds.dial_timeout_ns");
-  s.instances.orders = pairs.flag("family_info.orders", false);
-  s.instances.on_miss = choice(pairs, "family_info.miss_mode", MissMode::kLoad,
-                               {{"load", MissMode::kLoad}, {"miss", MissMode::kMiss}});
-  s.instances.tells_warm = pairs.flag("family_info.tells_warm", false);
-  s.instances.tells_company = pairs.flag("family_info.says_company", false);
-  s.instances.keep_alive = pairs.duration("family_info.idle_life_ns");
+  settings.bounds.attempts_cap = pairs.whole_number("bounds.attempts_cap", 1);
+  settings.bounds.may_cancel = pairs.flag("bounds.may_cancel", false);
+  settings.bounds.may_duplicate = pairs.flag("bounds.may_duplicate", false);
+  settings.bounds.peers = pairs.flag("bounds.peers", false);
+  settings.bounds.probes = pairs.flag("bounds.probes", false);
+  settings.bounds.retry_after = pairs.flag("bounds.retry_after", false);
+  settings.bounds.max_retry_after = pairs.duration("bounds.max_retry_after_ns");
+  settings.bounds.max_open = pairs.whole_number("bounds.most_held", 0);
+  settings.bounds.dial_timeout = pairs.duration("bounds.dial_timeout_ns");
+  settings.instances.orders = pairs.flag("family_info.orders", false);
+  settings.instances.on_miss = choice(pairs, "family_info.miss_mode", MissMode::kLoad,
+                                      {{"load", MissMode::kLoad}, {"miss", MissMode::kMiss}});
+  settings.instances.tells_warm = pairs.flag("family_info.tells_warm", false);
+  settings.instances.tells_company = pairs.flag("family_info.says_company", false);
+  settings.instances.keep_alive = pairs.duration("family_info.idle_life_ns");
   for (std::string_view size : pairs.list("family_info.ram_mb_by_kind"))
-    s.instances.memory_mb_by_kind.push_back(Pairs::parse_number("family_info.ram_mb_by_kind", size));
-  s.instances.order_floor = pairs.number("family_info.load_floor", 0);
-  s.instances.orders_per_request = pairs.number("family_info.loads_per_request", 0);
-  s.instances.order_window = pairs.duration("family_info.load_window_ns");
-  s.instances.order_timeout = pairs.duration("family_info.load_wait_ns");
-  s.instances.idle_memory_cost = pairs.number("family_info.idle_memory_cost", 0);
-  s.rules.cold_from = pairs.number("rules.cold_from", 1);
-  s.rules.cold_for = pairs.duration("rules.cold_ns");
-  s.rules.fall_multiple = pairs.number("rules.fall_multiple", 1);
-  s.rules.overload_for = pairs.duration("rules.overload_for_ns");
-  s.rules.drain_grace = pairs.duration("rules.drain_grace_ns");
-  s.rules.answer_grace = pairs.duration("rules.grace_to_answer_ns");
-  s.rules.ask_within = pairs.duration("rules.ask_within_ns");
-  s.list_must_be_asked = choice(pairs, "discovery", false, {{"push", false}, {"ask", true}});
-  s.worth_by_work = choice(pairs, "counted_by", false, {{"request", false}, {"work", true}});
-  s.over_share_worth = pairs.number("over_share_worth", 1);
-  s.waste_price = pairs.number("deductions.waste", 0);
-  s.late_fail_price = pairs.number("deductions.late_fail", 0);
-  s.fetch_price = pairs.number("deductions.origin", 0);
-  s.order_price = pairs.number("deductions.probe", 0);
-  s.tick = pairs.duration("tick_ns");
-  s.me = static_cast<std::uint32_t>(pairs.whole("me", 0));
-  s.replicas = static_cast<std::uint32_t>(pairs.whole("replicas_of_me", 1));
-  for (std::string_view word : pairs.list("stats.columns")) launch.columns.push_back(column_of(word, pairs));
-  launch.unknown_keys = pairs.unread();
+    settings.instances.memory_mb_by_kind.push_back(
+        SettingsText::parse_number("family_info.ram_mb_by_kind", size));
+  settings.instances.order_floor = pairs.number("family_info.load_floor", 0);
+  settings.instances.orders_per_request = pairs.number("family_info.loads_per_request", 0);
+  settings.instances.order_window = pairs.duration("family_info.load_window_ns");
+  settings.instances.order_timeout = pairs.duration("family_info.load_wait_ns");
+  settings.instances.idle_memory_cost = pairs.number("family_info.idle_memory_cost", 0);
+  settings.rules.cold_from = pairs.number("rules.cold_from", 1);
+  settings.rules.cold_for = pairs.duration("rules.cold_ns");
+  settings.rules.fall_multiple = pairs.number("rules.fall_multiple", 1);
+  settings.rules.overload_for = pairs.duration("rules.overload_for_ns");
+  settings.rules.drain_grace = pairs.duration("rules.drain_grace_ns");
+  settings.rules.answer_grace = pairs.duration("rules.grace_to_answer_ns");
+  settings.rules.ask_within = pairs.duration("rules.ask_within_ns");
+  settings.list_must_be_asked = choice(pairs, "discovery", false, {{"push", false}, {"ask", true}});
+  settings.worth_by_work = choice(pairs, "counted_by", false, {{"request", false}, {"work", true}});
+  settings.over_share_worth = pairs.number("over_share_worth", 1);
+  settings.waste_price = pairs.number("deductions.waste", 0);
+  settings.late_fail_price = pairs.number("deductions.late_fail", 0);
+  settings.fetch_price = pairs.number("deductions.origin", 0);
+  settings.order_price = pairs.number("deductions.probe", 0);
+  settings.tick = pairs.duration("tick_ns");
+  settings.me = static_cast<std::uint32_t>(pairs.whole_number("me", 0));
+  settings.replicas = static_cast<std::uint32_t>(pairs.whole_number("replicas_of_me", 1));
+  for (std::string_view word : pairs.list("stats.columns"))
+    launch.columns.push_back(report_column(word, pairs));
+  launch.unknown_keys = pairs.unread_keys();
   return launch;
 }
 
--- a/src/wire/settings.h
+++ b/src/wire/settings.h
@@ -1,4 +1,4 @@
-// Reads the settings that come with a launch: path=value pairs, one a line.
+// Reads the settings text of a launch record: key=value pairs, one per line.
 #pragma once
 
 #include <string>
@@ -9,27 +9,29 @@
 
 namespace laureltide::wire {
 
-// The values of a load report, in the order in which the deployment sends them.
+// Meaning of a value in a load report. The deployment's settings list the values in the order in which it
+// sends them.
 enum class ReportColumn {
   kUnknown,
   kInFlight,
   kWaiting,
   kBusyCores,
-  kRunMs,
-  kServed,
-  kErrors,
-  kMemory,
-  kLoads
+  kRunMs,   // average run time
+  kServed,  // per second
+  kErrors,  // per second
+  kMemory,  // share of memory in use by running or loading instances
+  kLoads    // loads in progress or waiting
 };
 
+// The settings of one dispatcher.
 struct LaunchSettings {
   Settings settings;
-  std::vector<ReportColumn> columns;
-  std::vector<std::string> unknown_keys;  // keys that were given and mean nothing here
+  std::vector<ReportColumn> columns;      // of the load reports, in order
+  std::vector<std::string> unknown_keys;  // keys in the text that no setting has
 };
 
-// Throws Malformed for what cannot be used; unknown keys are ignored and absent optional ones keep
-// defaults.
+// Throws Malformed for values that cannot be used. Ignores unknown keys; optional keys that are absent get
+// their defaults.
 LaunchSettings parse_settings(std::string_view text);
 
 }  // namespace laureltide::wire
--- a/src/wire/wirehost.cpp
+++ b/src/wire/wirehost.cpp
@@ -1,4 +1,5 @@
-// Speaks the wire on standard input and output. Ends with 0 at the end of input, with 1 on malformed input.
+// Runs dispatchers for the simulator, with its binary protocol on standard input and output. Exits with 0 at
+// the end of input and with 1 on an error, such as malformed input.
 #include <array>
 #include <cstdio>
 #include <exception>
@@ -9,17 +10,18 @@
 
 namespace {
 
-// Reads up to `count` bytes in steps, so that a false length costs no memory that the input does not fill.
+// Reads up to `count` bytes. Allocates in steps, so that a false length takes no more memory than the input
+// fills.
 std::vector<std::byte> read_up_to(std::FILE* in, std::size_t count) {
-  constexpr std::size_t kStep = std::size_t{1} << 20;
+  constexpr std::size_t kStepBytes = std::size_t{1} << 20;
   std::vector<std::byte> bytes;
   while (bytes.size() < count) {
     const std::size_t before = bytes.size();
-    const std::size_t step = std::min(kStep, count - before);
+    const std::size_t step = std::min(kStepBytes, count - before);
     bytes.resize(before + step);
-    const std::size_t got = std::fread(bytes.data() + before, 1, step, in);
-    bytes.resize(before + got);
-    if (got < step) break;
+    const std::size_t read = std::fread(bytes.data() + before, 1, step, in);
+    bytes.resize(before + read);
+    if (read < step) break;
   }
   return bytes;
 }
@@ -28,15 +30,15 @@
   using namespace laureltide::wire;
   Host host;
   while (true) {
-    const auto length_bytes = read_up_to(stdin, kLengthBytes);
+    const auto length_bytes = read_up_to(stdin, kFrameLengthBytes);
     if (length_bytes.empty()) return 0;
     Reader length_reader(length_bytes, "frame length");
     const std::size_t length = length_reader.u32();
-    if (length < kBatchHeaderRest) length_reader.fail("frame is shorter than its header");
+    if (length < kBatchHeaderBytes) length_reader.fail("frame is shorter than its header");
     const auto batch = read_up_to(stdin, length);
     if (batch.size() < length)
       throw Malformed("frame: input ended before its " + std::to_string(length) + " bytes");
-    const auto reply = host.answer(batch);
+    const auto reply = host.process_batch(batch);
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0)
       throw std::runtime_error("standard output cannot be written");
   }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The wire on bytes: framing, bounds, settings and translation.
+// Tests of the simulator's adapter: framing, bounds checks, settings and the translation of records.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -15,59 +15,61 @@
     "3\n"
     "stats.columns=cpu,active,x1\nfamily_info.report_x1=loads_under_way_or_waiting\nunknown.key=7\n";
 
+// A batch of `records` records with the encoded records in `body`.
 Writer batch(std::uint32_t records, std::uint32_t number, const Writer& body) {
-  Writer w;
-  w.u32(records);
-  w.u64(1'000'000'000);
-  w.u32(number);
-  w.bytes(body.buffer());
-  return w;
+  Writer out;
+  out.u32(records);
+  out.u64(1'000'000'000);
+  out.u32(number);
+  out.bytes(body.buffer());
+  return out;
 }
 
-void put_launch(Writer& w, std::uint16_t id) {
-  w.u8(2);
-  w.u16(id);
-  w.u64(42);
-  w.u32(static_cast<std::uint32_t>(kSettings.size()));
-  w.text(kSettings);
+void add_launch(Writer& out, std::uint16_t id) {
+  out.u8(2);
+  out.u16(id);
+  out.u64(42);
+  out.u32(static_cast<std::uint32_t>(kSettings.size()));
+  out.text(kSettings);
 }
 
-void put_list(Writer& w, std::uint16_t id) {
-  w.u8(9);
-  w.u8(0);
-  w.u32(1);
-  w.u32(0x03124a07);
-  w.u16(0);
-  w.u16(0);
-  w.u16(0);
-  w.u8(1);
-  w.u32(0x3f800000);
-  w.u64(0);
-  w.u8(8);
-  w.u16(id);
-  w.u8(0);
-  w.u8(2);
-  w.u64(41);
+// A worker list of one worker (record 9), followed by the list update that refers to it (record 8).
+void add_worker_list(Writer& out, std::uint16_t id) {
+  out.u8(9);
+  out.u8(0);
+  out.u32(1);
+  out.u32(0x03124a07);
+  out.u16(0);
+  out.u16(0);
+  out.u16(0);
+  out.u8(1);
+  out.u32(0x3f800000);
+  out.u64(0);
+  out.u8(8);
+  out.u16(id);
+  out.u8(0);
+  out.u8(2);
+  out.u64(41);
 }
 
-void put_arrival(Writer& w, std::uint16_t id, std::uint32_t request) {
-  w.u8(3);
-  w.u16(id);
-  w.u32(request);
-  w.u64(0);
-  w.u8(0);
-  w.u32(0x40000000);
-  w.u32(0);
-  w.u32(0);
-  w.u64(3'000'000'000);
-  w.u32(0x43c00000);
-  w.u8(0);
-  w.u64(0x7c55d20a01);
+void add_arrival(Writer& out, std::uint16_t id, std::uint32_t request) {
+  out.u8(3);
+  out.u16(id);
+  out.u32(request);
+  out.u64(0);
+  out.u8(0);
+  out.u32(0x40000000);
+  out.u32(0);
+  out.u32(0);
+  out.u64(3'000'000'000);
+  out.u32(0x43c00000);
+  out.u8(0);
+  out.u64(0x7c55d20a01);
 }
 
-TEST(Codec, EmptyBatchAsOnTheWirePage) {
+TEST(Codec, EmptyBatchGetsAnEmptyReply) {
   Host host;
-  const auto reply = host.answer(batch(0, 1, {}).buffer());
+  const auto reply = host.process_batch(batch(0, 1, {}).buffer());
   Writer expected;
   expected.u32(8);
   expected.u32(0);
@@ -75,60 +77,60 @@
   EXPECT_EQ(reply, expected.buffer());
 }
 
-TEST(Codec, ReaderStopsAtTheEnd) {
-  Writer w;
-  w.u16(7);
-  Reader in(w.buffer(), "thing");
+TEST(Codec, ReaderThrowsPastTheEnd) {
+  Writer out;
+  out.u16(7);
+  Reader in(out.buffer(), "record");
   EXPECT_THROW(in.u32(), Malformed);
   EXPECT_EQ(in.u16(), 7);
   EXPECT_TRUE(in.done());
 }
 
-TEST(Host, ARequestIsRoutedInBytes) {
+TEST(Host, SendsAnArrivedRequestToTheListedWorker) {
   Host host;
   Writer body;
-  put_launch(body, 3);
-  put_list(body, 3);
-  put_arrival(body, 3, 0x5d3a91c4);
-  const auto reply = host.answer(batch(4, 9, body).buffer());
-  Writer route;
-  route.u8(71);
-  route.u16(3);
-  route.u32(0x5d3a91c4);
-  route.u32(0x03124a07);
-  route.u64(0);
-  const auto& needle = route.buffer();
-  EXPECT_NE(std::search(reply.begin(), reply.end(), needle.begin(), needle.end()), reply.end());
+  add_launch(body, 3);
+  add_worker_list(body, 3);
+  add_arrival(body, 3, 0x5d3a91c4);
+  const auto reply = host.process_batch(batch(4, 9, body).buffer());
+  Writer send;
+  send.u8(71);
+  send.u16(3);
+  send.u32(0x5d3a91c4);
+  send.u32(0x03124a07);
+  send.u64(0);
+  const auto& send_record = send.buffer();
+  EXPECT_NE(std::search(reply.begin(), reply.end(), send_record.begin(), send_record.end()), reply.end());
 }
 
-TEST(Host, EveryCutOfABatchIsRefused) {
+TEST(Host, RejectsABatchTruncatedAtAnyByte) {
   Writer body;
-  put_launch(body, 3);
-  put_list(body, 3);
-  put_arrival(body, 3, 5);
-  const auto whole = batch(4, 9, body).buffer();
-  for (std::size_t n = 0; n < whole.size(); ++n) {
+  add_launch(body, 3);
+  add_worker_list(body, 3);
+  add_arrival(body, 3, 5);
+  const auto complete = batch(4, 9, body).buffer();
+  for (std::size_t length = 0; length < complete.size(); ++length) {
     Host host;
-    EXPECT_THROW(host.answer(std::span(whole).first(n)), Malformed) << n;
+    EXPECT_THROW(host.process_batch(std::span(complete).first(length)), Malformed) << length;
   }
 }
 
-TEST(Host, UnknownCodesInstancesAndListsAreNamed) {
-  const auto message = [](const Writer& body) {
+TEST(Host, ErrorsNameUnknownEventCodesAndInstances) {
+  const auto error_message = [](const Writer& body) {
     Host host;
     try {
-      host.answer(batch(1, 1, body).buffer());
+      host.process_batch(batch(1, 1, body).buffer());
     } catch (const Malformed& error) {
       return std::string(error.what());
     }
     return std::string();
   };
-  Writer code;
-  code.u8(200);
-  EXPECT_NE(message(code).find("unknown event code 200"), std::string::npos);
+  Writer unknown_event;
+  unknown_event.u8(200);
+  EXPECT_NE(error_message(unknown_event).find("unknown event code 200"), std::string::npos);
   Writer arrival;
-  put_arrival(arrival, 8, 1);
-  EXPECT_NE(message(arrival).find("instance 8"), std::string::npos);
+  add_arrival(arrival, 8, 1);
+  EXPECT_NE(error_message(arrival).find("instance 8"), std::string::npos);
 }
 
 TEST(Settings, ReadsKnownKeysAndIgnoresOthers) {
@@ -139,7 +141,7 @@
   EXPECT_EQ(launch.columns[2], ReportColumn::kLoads);
 }
 
-TEST(Settings, UnusableOnesAreNamed) {
+TEST(Settings, RejectsUnusableText) {
   for (const char* text :
        {"", "classes.count=0\n", "classes.count=x\n", "no equals sign\n", "classes.count=-1\n",
         "classes.count=1\nclasses.0.semantics=often\n", "classes.count=99999999\n",
