--- a/src/wire/wirehost.cpp
+++ b/src/wire/wirehost.cpp
@@ -19,9 +19,9 @@
     const std::size_t before = bytes.size();
     const std::size_t step = std::min(kStepBytes, count - before);
     bytes.resize(before + step);
-    const std::size_t read = std::fread(bytes.data() + before, 1, step, in);
-    bytes.resize(before + read);
-    if (read < step) break;
+    const std::size_t read_count = std::fread(bytes.data() + before, 1, step, in);
+    bytes.resize(before + read_count);
+    if (read_count < step) break;
   }
   return bytes;
 }
