--- a/bench/hops.cpp
+++ b/bench/hops.cpp
@@ -247,7 +247,7 @@
   void on_message(lt::worker::Session& s, lt::worker::Message m) override {
     if (auto* call = std::get_if<lt::worker::Call>(&m)) {
       lt::worker::Answer a;
-      a.id = call->id, a.found = lt::worker::FoundKind::kLoaded, a.company = 0,
+      a.id = call->id, a.found = lt::worker::FoundKind::kLoaded, a.others_in_flight = 0,
       a.body = std::move(call->body);
       a.report.values = {{1, 1.0F}, {3, 0.5F}};
       if (delay_ <= 0) return s.send(a);
--- a/include/laureltide/dispatcher.h
+++ b/include/laureltide/dispatcher.h
@@ -46,7 +46,7 @@
 struct RequestClass {
   double worth = 1;
   double late_worth = 0;  // share of the worth, for an answer after `target`
-  double aim_stretch = 0;
+  double target_stretch = 0;
   Duration target{};
   Duration give_up{};
   Semantics semantics = Semantics::kOnce;
@@ -75,9 +75,9 @@
 struct Instances {
   bool orders = false;
   MissMode on_miss = MissMode::kLoad;
-  bool tells_warm = false;     // answers say whether an instance was found
-  bool tells_company = false;  // answers count the function's other requests at the worker
-  Duration keep_alive{};       // least time for which an idle instance is kept
+  bool reports_instance_found = false;    // answers say whether an instance was found
+  bool reports_others_in_flight = false;  // answers count the function's other requests at the worker
+  Duration keep_alive{};                  // least time for which an idle instance is kept
   std::vector<double> memory_mb_by_kind;
   double order_floor = 0;         // orders always allowed in the window
   double orders_per_request = 0;  // further orders, for each request taken in the window
@@ -87,10 +87,10 @@
 };
 
 struct Rules {
-  double cold_from = 1;  // least share of its capacity at which a worker starts
-  Duration cold_for{};   // a worker is warm after this
-  double fall_multiple = 1;
-  Duration overload_for{};
+  double cold_capacity_share = 1;  // least share of its capacity at which a worker starts
+  Duration cold_duration{};        // a worker is warm after this
+  double overload_multiple = 1;
+  Duration overload_duration{};
   Duration drain_grace{};
   Duration answer_grace{};
   Duration ask_within{};
@@ -102,15 +102,15 @@
   Bounds bounds;
   Instances instances;
   Rules rules;
-  bool list_must_be_asked = false;
+  bool list_needs_subscription = false;
   bool worth_by_work = false;
   double over_share_worth = 1;
-  double waste_price = 0;
-  double late_fail_price = 0;
-  double fetch_price = 0;
-  double order_price = 0;
+  double waste_cost = 0;
+  double late_failure_cost = 0;
+  double fetch_cost = 0;
+  double order_cost = 0;
   Duration tick{};
-  std::uint32_t me = 0;
+  std::uint32_t replica_index = 0;
   std::uint32_t replicas = 1;
 };
 
@@ -153,16 +153,16 @@
   float memory_mb = 0;
   std::optional<Duration> load_time;
   std::optional<Duration> work_hint;
-  bool client_repeat = false;
+  bool is_client_retry = false;
   bool write = false;
 };
 
-enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kMoot, kMiss };
-enum class Found { kUntold, kLoaded, kBeganLoad, kAwaitedLoad, kLoadFailed };
+enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kNotRun, kMiss };
+enum class Found { kNotReported, kLoaded, kBeganLoad, kAwaitedLoad, kLoadFailed };
 
 // A worker's own account of its load: late, noisy, and with only the values the deployment reports.
 struct LoadReport {
-  std::optional<float> in_hand, waiting, busy_cores, run_ms, served_per_s, errors_per_s, memory_at_work,
+  std::optional<float> in_progress, waiting, busy_cores, run_ms, served_per_s, errors_per_s, memory_in_use,
       loads;
 };
 
@@ -173,8 +173,8 @@
   Outcome outcome = Outcome::kOk;
   bool terminal = false;  // nothing more is owed for the request
   Duration took{};
-  Found found = Found::kUntold;
-  std::optional<int> company;
+  Found found = Found::kNotReported;
+  std::optional<int> others_in_flight;
   LoadReport report;
 };
 
@@ -228,10 +228,10 @@
   virtual void hold(WorkerId worker, FunctionId function, int instances) = 0;  // 0 only asks
   virtual void release(WorkerId worker, FunctionId function) = 0;
   virtual void probe(WorkerId worker) = 0;
-  virtual void wake(Duration delay, TimerToken token) = 0;
+  virtual void start_timer(Duration delay, TimerToken token) = 0;
   virtual void subscribe(bool enable) = 0;
   virtual void fetch_list() = 0;
-  virtual void tell(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) = 0;
+  virtual void send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) = 0;
   virtual void log(std::string_view line) = 0;
 };
 
@@ -264,12 +264,12 @@
   void on(Time now, const TimerFired& timer);
 
   // Whether something new may begin at the worker: for what was decided on a while ago and leaves only now.
-  bool may_begin(Time now, WorkerId worker) const;
+  bool may_start_work(Time now, WorkerId worker) const;
   // Whether the bytes of an attempt may leave now that was decided on a while ago. Not past the deadline, nor
   // once the request has ended, nor past the time in which workers drop repeats of what may have run.
-  bool may_leave(Time now, RequestId request, AttemptNumber attempt) const;
+  bool may_be_sent(Time now, RequestId request, AttemptNumber attempt) const;
   // Whether the list is current enough to go by alone.
-  bool list_holds(Time now) const;
+  bool list_is_valid(Time now) const;
   const LeaseCounters& lease_counters() const;
 
  private:
--- a/src/apps/play.cpp
+++ b/src/apps/play.cpp
@@ -65,9 +65,9 @@
     << "\nprobes = true\n[instances]\non_miss = \"" << (day.load_on_miss ? "load" : "miss")
     << "\"\nkeep_alive_ms = " << ms(day.keep_alive) << "\norder_floor = " << day.order_floor
     << "\norders_per_call = " << day.orders_per_call << "\norder_window_ms = " << ms(day.order_window)
-    << "\n[rules]\ncold_from = " << day.cold_from << "\ncold_for_ms = " << ms(day.cold_for)
-    << "\nfall_multiple = " << std::max(0.1, day.fall_multiple)
-    << "\noverload_for_ms = " << ms(day.overload_for) << "\ndrain_grace_ms = " << ms(day.drain_grace)
+    << "\n[rules]\ncold_from = " << day.cold_capacity_share << "\ncold_for_ms = " << ms(day.cold_duration)
+    << "\nfall_multiple = " << std::max(0.1, day.overload_multiple)
+    << "\noverload_for_ms = " << ms(day.overload_duration) << "\ndrain_grace_ms = " << ms(day.drain_grace)
     << "\nover_share_worth = 0.1\n"
     << "[[kind]]\nname = \"std\"\nmemory_mb = " << day.memory_mb << "\n";
   for (const DayClass& c : day.classes)
@@ -108,8 +108,9 @@
 lt::check::Rules rules_of(const Day& day) {
   lt::check::Rules r;
   r.drain_grace_s = s(day.drain_grace), r.answer_grace_s = s(day.answer_grace);
-  r.cold_from = day.cold_from, r.cold_for_s = s(day.cold_for), r.fall_multiple = day.fall_multiple;
-  r.overload_for_s = s(day.overload_for), r.worker_cores = day.cores;
+  r.cold_capacity_share = day.cold_capacity_share, r.cold_for_s = s(day.cold_duration),
+  r.overload_multiple = day.overload_multiple;
+  r.overload_for_s = s(day.overload_duration), r.worker_cores = day.cores;
   r.answers_may_repeat = day.confirm_mode || day.acknowledge_on_take;
   r.order_window_s = s(day.order_window), r.order_floor = day.order_floor,
   r.orders_per_call = day.orders_per_call;
--- a/src/check/judge.cpp
+++ b/src/check/judge.cpp
@@ -315,7 +315,7 @@
 
   // Rule 4: the work sent to a worker that just started, in any window, against what it can do then.
   void cold_workers_stand() {
-    if (rules_.fall_multiple <= 0 || rules_.cold_for_s <= 0) return;
+    if (rules_.overload_multiple <= 0 || rules_.cold_for_s <= 0) return;
     for (const auto& [worker, starts] : cold_starts_)
       for (const double start : starts) {
         std::deque<Arrival> window;
@@ -330,9 +330,10 @@
           window.push_back(a), sent += work(a);
           while (a.at - window.front().at > rules_.overload_for_s)
             sent -= work(window.front()), window.pop_front();
-          const double warmth =
-              rules_.cold_from + (1 - rules_.cold_from) * (a.at - start) / rules_.cold_for_s;
-          const double bears = rules_.fall_multiple * warmth * rules_.worker_cores * rules_.overload_for_s;
+          const double warmth = rules_.cold_capacity_share +
+                                (1 - rules_.cold_capacity_share) * (a.at - start) / rules_.cold_for_s;
+          const double bears =
+              rules_.overload_multiple * warmth * rules_.worker_cores * rules_.overload_for_s;
           if (sent <= bears + 3 * work(a)) continue;
           // Charged to the gateways only if two thirds came from those that knew of the start.
           double knowing = 0;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -186,9 +186,10 @@
 void read_gateway(Section& s, Settings& out) {
   Gateway& g = out.gateway;
   g.name = s.text("name", g.name);
-  out.module.me = s.whole<std::uint32_t>("number", 0, 0, 65535);
+  out.module.replica_index = s.whole<std::uint32_t>("number", 0, 0, 65535);
   out.module.replicas = s.whole<std::uint32_t>("replicas", 1, 1, 65536);
-  if (out.module.me >= out.module.replicas) s.wrong("number", "must be under replicas: numbers start at 0");
+  if (out.module.replica_index >= out.module.replicas)
+    s.wrong("number", "must be under replicas: numbers start at 0");
   g.loopback_only = !s.flag("allow_other_networks", false);
   g.most_body = s.whole<std::uint64_t>("most_body_bytes", g.most_body, 1, 64 << 20);
   g.answer_reserve = s.ms("answer_reserve_ms", g.answer_reserve);
@@ -344,8 +345,8 @@
     m.instances.orders = s.flag("orders", true);
     m.instances.on_miss =
         s.choice("on_miss", MissMode::kMiss, {{"load", MissMode::kLoad}, {"miss", MissMode::kMiss}});
-    m.instances.tells_warm = s.flag("tells_found", true);
-    m.instances.tells_company = s.flag("tells_company", true);
+    m.instances.reports_instance_found = s.flag("tells_found", true);
+    m.instances.reports_others_in_flight = s.flag("tells_company", true);
     m.instances.keep_alive = s.ms("keep_alive_ms", std::chrono::seconds(10), 1);
     m.instances.order_floor = s.number("order_floor", 0, 0, 1e9);
     m.instances.orders_per_request = s.number("orders_per_call", 0, 0, 1e9);
@@ -354,10 +355,10 @@
     m.instances.idle_memory_cost = s.number("idle_memory_cost", 0, 0, 1e6);
   });
   root.section("rules", [&](Section& s) {
-    m.rules.cold_from = s.number("cold_from", 1, 0.001, 1);
-    m.rules.cold_for = s.ms("cold_for_ms", Duration(0));
-    m.rules.fall_multiple = s.number("fall_multiple", 2, 0.1, 1000);
-    m.rules.overload_for = s.ms("overload_for_ms", std::chrono::seconds(1));
+    m.rules.cold_capacity_share = s.number("cold_from", 1, 0.001, 1);
+    m.rules.cold_duration = s.ms("cold_for_ms", Duration(0));
+    m.rules.overload_multiple = s.number("fall_multiple", 2, 0.1, 1000);
+    m.rules.overload_duration = s.ms("overload_for_ms", std::chrono::seconds(1));
     m.rules.drain_grace = s.ms("drain_grace_ms", std::chrono::seconds(1));
     m.rules.answer_grace = s.ms("answer_grace_ms", std::chrono::milliseconds(16));
     m.rules.ask_within = s.ms("ask_within_ms", std::chrono::seconds(10));
@@ -499,8 +500,8 @@
                   [&](auto& x, auto& y) { return !class_differs(x, y); }) &&
       from.class_names == to.class_names)
     keys.emplace_back("class");
-  if (a.me != b.me || a.replicas != b.replicas || from.gateway.name != to.gateway.name ||
-      from.gateway.loopback_only != to.gateway.loopback_only)
+  if (a.replica_index != b.replica_index || a.replicas != b.replicas ||
+      from.gateway.name != to.gateway.name || from.gateway.loopback_only != to.gateway.loopback_only)
     keys.emplace_back("gateway");
   if (std::tie(a.bounds.attempts_cap, a.bounds.may_cancel, a.bounds.may_duplicate, a.bounds.probes,
                a.bounds.max_open, a.bounds.dial_timeout) !=
--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -22,7 +22,7 @@
     case Outcome::kConnectFailed: return 'c';
     case Outcome::kReset: return 'r';
     case Outcome::kCancelled: return 'x';
-    case Outcome::kMoot: return 'z';
+    case Outcome::kNotRun: return 'z';
     case Outcome::kMiss: return 'm';
   }
   return '?';
@@ -48,7 +48,7 @@
     case Outcome::kConnectFailed: return "connect-failed";
     case Outcome::kReset: return "reset";
     case Outcome::kCancelled: return "cancelled";
-    case Outcome::kMoot: return "moot";
+    case Outcome::kNotRun: return "moot";
     case Outcome::kMiss: return "miss";
   }
   return "unknown";
@@ -235,7 +235,7 @@
                     number >= static_cast<std::size_t>(settings_->module.bounds.attempts_cap);
   if (over || !link(worker)) {  // nothing left this process
     CallEnd end;
-    end.outcome = over ? Outcome::kMoot : Outcome::kConnectFailed;
+    end.outcome = over ? Outcome::kNotRun : Outcome::kConnectFailed;
     behind_.push_back([this, word, end](Time) { end_attempt(word, end); });
     return;
   }
@@ -268,11 +268,11 @@
     const laureltide::Rules& rules = settings_->module.rules;
     const members::Member* member = list_.find(attempt.worker);
     const bool ready = member && member->state == WorkerState::kReady;
-    const bool stale = now - attempt.sent > std::min(rules.drain_grace, rules.overload_for) / 2;
+    const bool stale = now - attempt.sent > std::min(rules.drain_grace, rules.overload_duration) / 2;
     CallEnd end;
-    end.outcome = open.answered || now >= open.deadline ? Outcome::kMoot : Outcome::kFull;
-    const bool may_leave = module_->may_leave(now, RequestId{id}, static_cast<AttemptNumber>(number));
-    if (end.outcome == Outcome::kMoot || !ready || stale || !may_leave) return end_attempt(word, end);
+    end.outcome = open.answered || now >= open.deadline ? Outcome::kNotRun : Outcome::kFull;
+    const bool may_be_sent = module_->may_be_sent(now, RequestId{id}, static_cast<AttemptNumber>(number));
+    if (end.outcome == Outcome::kNotRun || !ready || stale || !may_be_sent) return end_attempt(word, end);
     attempt.waits = false;
   }
   worker::Port* to = link(attempt.worker);
@@ -317,9 +317,9 @@
   attempt.connection = connection;
 }
 
-bool Core::may_leave(WorkerId, std::uint64_t word) {
+bool Core::may_be_sent(WorkerId, std::uint64_t word) {
   const RequestId request{static_cast<std::uint32_t>(word >> 8)};
-  return module_->may_leave(host_.now(), request, static_cast<AttemptNumber>(word & 0xff));
+  return module_->may_be_sent(host_.now(), request, static_cast<AttemptNumber>(word & 0xff));
 }
 
 void Core::on_connection_end(WorkerId, std::string_view why) {
@@ -342,11 +342,12 @@
   Attempt& attempt = open.attempts[number];
   if (attempt.outcome) return;
   if (attempt.waits) {  // whatever ended it: it never left
-    if (end.outcome == Outcome::kTimeout) end.outcome = Outcome::kMoot;
+    if (end.outcome == Outcome::kTimeout) end.outcome = Outcome::kNotRun;
     attempt.waits = false;
     book_->never_ran(open.call.record, *attempt.recorded);
-  } else if (attempt.recorded && (end.outcome == Outcome::kFull || end.outcome == Outcome::kMiss ||
-                                  end.outcome == Outcome::kConnectFailed || end.outcome == Outcome::kMoot)) {
+  } else if (attempt.recorded &&
+             (end.outcome == Outcome::kFull || end.outcome == Outcome::kMiss ||
+              end.outcome == Outcome::kConnectFailed || end.outcome == Outcome::kNotRun)) {
     book_->never_ran(open.call.record, *attempt.recorded);
   }
   attempt.outcome = end.outcome;
@@ -372,7 +373,7 @@
   result.terminal = open.answered;
   result.took = host_.now() - attempt.sent;
   result.found = end.found;
-  if (settings_->module.instances.tells_company) result.company = end.company;
+  if (settings_->module.instances.reports_others_in_flight) result.others_in_flight = end.others_in_flight;
   result.report = end.report;
   feed([this, result](Time now) { module_->on(now, result); });
   discard(id);
@@ -488,7 +489,7 @@
 
 std::unique_ptr<worker::Port> Core::own_protocol(WorkerId worker, const io::Address& address) {
   worker::LinkOptions options;
-  options.controller = settings_->module.me;
+  options.controller = settings_->module.replica_index;
   options.controller_name = settings_->gateway.name;
   options.started_unix_ms = started_unix_ms_;
   options.dial_timeout = settings_->module.bounds.dial_timeout;
@@ -582,7 +583,7 @@
 void Core::fetch_list() {
   if (on_gap) on_gap();
 }
-void Core::tell(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) {
+void Core::send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) {
   events_.on_tell(peer, bytes);
 }
 void Core::log(std::string_view line) { events_.on_log(std::string(line)); }
@@ -601,7 +602,7 @@
   behind_.clear();
 }
 
-void Core::wake(Duration delay, TimerToken token) { alarm(host_.now() + delay, Due::kModule, token); }
+void Core::start_timer(Duration delay, TimerToken token) { alarm(host_.now() + delay, Due::kModule, token); }
 
 void Core::alarm(Time at, Due what, std::uint64_t token) {
   alarms_.push({at, alarm_count_++, what, token});
@@ -630,7 +631,7 @@
   CallEnd end;
   const auto to = links_.find(worker);
   const bool never = to != links_.end() && to->second->forget_call(word);
-  end.outcome = never ? Outcome::kMoot : Outcome::kTimeout;
+  end.outcome = never ? Outcome::kNotRun : Outcome::kTimeout;
   return end;
 }
 
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -137,10 +137,10 @@
   void hold(WorkerId worker, FunctionId function, int instances) override;
   void release(WorkerId worker, FunctionId function) override;
   void probe(WorkerId worker) override;
-  void wake(Duration delay, TimerToken token) override;
+  void start_timer(Duration delay, TimerToken token) override;
   void subscribe(bool) override {}  // lists push here
   void fetch_list() override;
-  void tell(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) override;
+  void send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) override;
   void log(std::string_view line) override;
 
   // ---- worker::LinkEvents: what became of it ----
@@ -150,8 +150,8 @@
   void on_probe_end(WorkerId worker, std::uint64_t cookie, Outcome outcome, LoadReport report) override;
   void on_call_left(WorkerId worker, std::uint64_t cookie, std::uint64_t connection) override;
   void on_connection_end(WorkerId worker, std::string_view why) override;
-  bool may_begin(WorkerId worker) override { return module_->may_begin(host_.now(), worker); }
-  bool may_leave(WorkerId worker, std::uint64_t cookie) override;
+  bool may_start_work(WorkerId worker) override { return module_->may_start_work(host_.now(), worker); }
+  bool may_be_sent(WorkerId worker, std::uint64_t cookie) override;
   void on_oddity(WorkerId worker, const std::string& what) override;
 
  private:
--- a/src/controller/invoke.cpp
+++ b/src/controller/invoke.cpp
@@ -38,7 +38,7 @@
     : host_(host),
       core_(core),
       options_(settings.invoke),
-      me_(settings.module.me),
+      me_(settings.module.replica_index),
       replicas_(settings.module.replicas),
       tenant_names_(settings.tenant_names),
       keyring_(settings.keys),
--- a/src/controller/peers.cpp
+++ b/src/controller/peers.cpp
@@ -55,7 +55,7 @@
 };
 
 Peers::Peers(io::Host& host, const config::Settings& settings, Heard heard)
-    : me_(settings.module.me), heard_(std::move(heard)), dead_(host) {
+    : me_(settings.module.replica_index), heard_(std::move(heard)), dead_(host) {
   for (const config::Peer& peer : settings.peers)
     if (peer.number != me_) out_[peer.number] = std::make_unique<Outbound>(host, peer.address);
   wanted_ = settings.gateway.peer_listen.has_value();
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -232,8 +232,8 @@
     class_run_s.resize(settings.classes.size()), class_work_s.resize(settings.classes.size());
     requests.since = requests.at = served_weight.since = served_weight.at = begin;
     for (const Tenant& t : settings.tenants) shares.push_back({t.quota_per_s * kShareBurst, begin});
-    sink.wake(jittered(kFirstReplan), kReplanToken);
-    if (settings.list_must_be_asked) sink.subscribe(true);
+    sink.start_timer(jittered(kFirstReplan), kReplanToken);
+    if (settings.list_needs_subscription) sink.subscribe(true);
   }
 
   Duration jittered(Duration d) { return from_seconds(seconds(d) * (1 + kJitter * (2 * random.unit() - 1))); }
@@ -247,7 +247,7 @@
 
   void update_list(const ListUpdate& update) {
     if (update.scope == ListScope::kFailed) {  // the old list stands; ask again, not all at once
-      if (settings.list_must_be_asked) sink.wake(jittered(500ms), kListToken);
+      if (settings.list_needs_subscription) sink.start_timer(jittered(500ms), kListToken);
       return;
     }
     if (update.scope == ListScope::kChanges && list_version && update.version <= *list_version) return;
@@ -274,13 +274,13 @@
   }
 
   void list_freshness(const ListFreshness& freshness) {
-    const bool held = leases.list_holds(now);
+    const bool held = leases.list_is_valid(now);
     leases.set_list_current_until(freshness.current_until);
-    if (!held && leases.list_holds(now)) release_held();
+    if (!held && leases.list_is_valid(now)) release_held();
   }
 
   // Rule 3, for the time at which something begins. Discovery that is out of reach may have told a drain.
-  bool may_begin(WorkerId id) const {
+  bool may_start_work(WorkerId id) const {
     const auto it = workers.find(id);
     return it != workers.end() && ready(it->second) && leases.holds(id, now);
   }
@@ -298,7 +298,7 @@
   void lease_answered(const ProbeResult& result) {
     const WorkerId id = result.worker;
     const Time sent = now - result.took;
-    const bool away = !leases.list_holds(now);
+    const bool away = !leases.list_is_valid(now);
     switch (result.outcome) {
       case Outcome::kOk: came_back(id, leases.said_ready(id, sent)); break;
       case Outcome::kError: leases.refused(id, sent, now); break;
@@ -315,7 +315,7 @@
   // A worker that refused, or could not be reached, and takes new work again: with discovery out of reach
   // nobody tells whether it is a new process, which starts cold and empty.
   void came_back(WorkerId id, bool doubted) {
-    if (!doubted || leases.list_holds(now)) return;
+    if (!doubted || leases.list_is_valid(now)) return;
     forget_worker(id);
     chill(workers[id], std::max(now, workers[id].cold_since.value_or(now)));
   }
@@ -331,9 +331,11 @@
 
   // Share of its capacity that a worker surely has: a straight line from the cold share to the whole.
   double warmth(const Worker& worker) const {
-    if (!worker.cold_since || settings.rules.cold_for <= 0ns) return 1;
-    const double age = seconds(now - *worker.cold_since) / seconds(settings.rules.cold_for);
-    return age >= 1 ? 1 : settings.rules.cold_from + (1 - settings.rules.cold_from) * std::max(age, 0.0);
+    if (!worker.cold_since || settings.rules.cold_duration <= 0ns) return 1;
+    const double age = seconds(now - *worker.cold_since) / seconds(settings.rules.cold_duration);
+    return age >= 1 ? 1
+                    : settings.rules.cold_capacity_share +
+                          (1 - settings.rules.cold_capacity_share) * std::max(age, 0.0);
   }
 
   // Share of errors in its answers. It fades with what it rests on, so that the worker is tried again.
@@ -403,10 +405,11 @@
     const auto rate = static_cast<std::uint32_t>(std::min(1e9, requests.per_second(now) * 1000));
     std::array<std::byte, 4> bytes{};
     for (std::size_t i = 0; i < bytes.size(); ++i) bytes[i] = static_cast<std::byte>(rate >> (24 - 8 * i));
-    if (settings.replicas <= kPeersTold + 1) return sink.tell(std::nullopt, bytes);
+    if (settings.replicas <= kPeersTold + 1) return sink.send_to_peer(std::nullopt, bytes);
     for (std::size_t i = 0; i < kPeersTold; ++i)
-      if (const auto peer = static_cast<std::uint32_t>(random.below(settings.replicas)); peer != settings.me)
-        sink.tell(peer, bytes);
+      if (const auto peer = static_cast<std::uint32_t>(random.below(settings.replicas));
+          peer != settings.replica_index)
+        sink.send_to_peer(peer, bytes);
   }
 
   // All front ends' calls for each own one: from the mean of what peers told, else all are as busy as this.
@@ -583,7 +586,7 @@
         pair.unpaired = pair.target > 0 ? 0 : pair.unpaired + 1;
         const bool drop =
             pair.placed && pair.unpaired >= kReplansToDrop && believed_warm(pair) && !pair.in_flight;
-        if (!drop || settings.instances.idle_memory_cost <= 0 || !may_begin(id)) continue;
+        if (!drop || settings.instances.idle_memory_cost <= 0 || !may_start_work(id)) continue;
         sink.release(id, fid);
         pair.copies = 0, pair.placed = false;
       }
@@ -644,7 +647,7 @@
     w->second.heard = now;
     // Only a copy that should stand and is gone tells of a restart. Of another function the answer tells
     // nothing.
-    const bool away = !leases.list_holds(now);  // then the list would not have told of a restart
+    const bool away = !leases.list_is_valid(now);  // then the list would not have told of a restart
     trust(result.worker, away || (believed_warm(pair) && result.instances <= 0));
     pair.copies = std::max(0, result.instances);
     if (pair.copies > 0) pair.seen = now, pair.placed = true;
@@ -668,7 +671,7 @@
 
   // A random one, of those that need not be asked for a lease first where there are any.
   WorkerId draw(const std::vector<WorkerId>& warm) {
-    if (leases.list_holds(now)) return warm[random.below(warm.size())];
+    if (leases.list_is_valid(now)) return warm[random.below(warm.size())];
     std::vector<WorkerId> leased;
     for (const WorkerId id : warm)
       if (leases.holds(id, now)) leased.push_back(id);
@@ -753,7 +756,7 @@
     if (settings.instances.order_window > 0ns) arrivals.push_back(now);
     learn_function(request);
     const Duration left = std::max<Duration>(0ns, request.deadline - now);
-    sink.wake(left, kDeadlineTokens | static_cast<std::uint32_t>(request.id));
+    sink.start_timer(left, kDeadlineTokens | static_cast<std::uint32_t>(request.id));
     o.over_share = over_share(request);
     if (o.over_share && fleet_is_short() && may_refuse(o)) settle(o);
     place(o);
@@ -796,11 +799,11 @@
     --worker.in_flight, --pair.in_flight, --o.out;
     const bool load_failed = r.found == Found::kLoadFailed;
     const bool proof = r.outcome == Outcome::kFull || r.outcome == Outcome::kConnectFailed ||
-                       r.outcome == Outcome::kMoot || r.outcome == Outcome::kMiss;
+                       r.outcome == Outcome::kNotRun || r.outcome == Outcome::kMiss;
     a.fate = proof ? Fate::kNeverRan : Fate::kMayHaveRun;
     if (r.outcome == Outcome::kOk || r.outcome == Outcome::kError || r.outcome == Outcome::kFull ||
         r.outcome == Outcome::kMiss)
-      worker.heard = now, trust(a.worker, !leases.list_holds(now) && a.sent > worker.suspected_at);
+      worker.heard = now, trust(a.worker, !leases.list_is_valid(now) && a.sent > worker.suspected_at);
     if (r.outcome == Outcome::kOk) came_back(a.worker, leases.accepted(a.worker, a.sent));
     if (r.outcome == Outcome::kOk || (r.outcome == Outcome::kError && !load_failed))
       count_answer(worker, r.outcome == Outcome::kError);
@@ -833,7 +836,7 @@
 
   void served(Function& f, Pair& pair, Worker& worker, const Attempt& a, const AttemptResult& r) {
     served_weight.add(now, weight(f.request_class));
-    const bool loaded = r.found == Found::kLoaded || (r.found == Found::kUntold && a.warm);
+    const bool loaded = r.found == Found::kLoaded || (r.found == Found::kNotReported && a.warm);
     if (r.found == Found::kBeganLoad && a.warm) saw_cold(f, a.worker, a.sent);
     pair.copies = std::max(pair.copies, 1);
     pair.seen = now;
@@ -891,7 +894,7 @@
     if (token == kReplanToken) {
       replan();
       tell_peers();
-      sink.wake(jittered(kReplanEvery), kReplanToken);
+      sink.start_timer(jittered(kReplanEvery), kReplanToken);
     } else if (token == kSweepToken) {
       sweep();
     } else if (token == kListToken) {
@@ -938,7 +941,7 @@
   }
 
   void start_sweep() {
-    if (!std::exchange(sweeping, true)) sink.wake(kSweepEvery, kSweepToken);
+    if (!std::exchange(sweeping, true)) sink.start_timer(kSweepEvery, kSweepToken);
   }
 
   // A sign of life that puts no load on the worker. Asked for a copy that should stand, it also tells a
@@ -1014,7 +1017,7 @@
   }
 
   // Rules 1 and 2, for the time at which the bytes of an attempt leave that has waited since it was decided.
-  bool may_leave(RequestId id, AttemptNumber number) const {
+  bool may_be_sent(RequestId id, AttemptNumber number) const {
     const auto it = open.find(id);
     if (it == open.end() || number >= it->second.attempts.size()) return false;
     const Open& o = it->second;
@@ -1037,9 +1040,9 @@
   bool cold_budget(Worker& worker, double w) {
     const double share = warmth(worker);
     if (share >= 1) return true;
-    const double limit = (crowd > kMany ? kColdLimitOfMany : kColdLimit) * settings.rules.fall_multiple;
+    const double limit = (crowd > kMany ? kColdLimitOfMany : kColdLimit) * settings.rules.overload_multiple;
     const double rate = served_weight.per_second(now) / ready_count * share * limit;
-    const double most = std::max(w * 1.001, rate * seconds(settings.rules.overload_for));
+    const double most = std::max(w * 1.001, rate * seconds(settings.rules.overload_duration));
     worker.credit = std::min(most, worker.credit + rate * seconds(now - worker.credit_at));
     worker.credit_at = now;
     return worker.credit >= w;
@@ -1092,11 +1095,13 @@
 void Dispatcher::on(Time now, const ProbeResult& result) { state_->at(now).probe_answered(result); }
 void Dispatcher::on(Time now, const PeerMessage& message) { state_->at(now).peer_told(message); }
 void Dispatcher::on(Time now, const TimerFired& timer) { state_->at(now).timer(timer.token); }
-bool Dispatcher::may_begin(Time now, WorkerId worker) const { return state_->at(now).may_begin(worker); }
-bool Dispatcher::may_leave(Time now, RequestId request, AttemptNumber attempt) const {
-  return state_->at(now).may_leave(request, attempt);
+bool Dispatcher::may_start_work(Time now, WorkerId worker) const {
+  return state_->at(now).may_start_work(worker);
 }
-bool Dispatcher::list_holds(Time now) const { return state_->leases.list_holds(now); }
+bool Dispatcher::may_be_sent(Time now, RequestId request, AttemptNumber attempt) const {
+  return state_->at(now).may_be_sent(request, attempt);
+}
+bool Dispatcher::list_is_valid(Time now) const { return state_->leases.list_is_valid(now); }
 const LeaseCounters& Dispatcher::lease_counters() const { return state_->leases.counters(); }
 
 }  // namespace laureltide
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -61,7 +61,7 @@
   options.idle = config.idle_closes * 2 / 3;
   options.streams = config.streams;
   options.load = config.load;
-  options.tells_company = module.instances.tells_company;
+  options.reports_others_in_flight = module.instances.reports_others_in_flight;
   return options;
 }
 
@@ -176,7 +176,7 @@
     say_(Level::kInfo, "discovery: heard again after " + ms(heard - discovery_heard_) +
                            "; the list held is that of event " + std::to_string(roster_.last()));
   }
-  const bool needed = !core_.module().list_holds(now);
+  const bool needed = !core_.module().list_is_valid(now);
   if (needed == std::exchange(leases_needed_, needed)) return;
   const LeaseCounters& leases = core_.module().lease_counters();
   say_(Level::kInfo, std::string("leases: ") +
@@ -391,7 +391,7 @@
   const LeaseCounters& leases = core_.module().lease_counters();
   line << " leases=asked:" << leases.asked << ",ready:" << leases.ready << ",refused:" << leases.refused
        << ",unanswered:" << leases.unanswered
-       << " list_current=" << (core_.module().list_holds(host_.now()) ? 1 : 0);
+       << " list_current=" << (core_.module().list_is_valid(host_.now()) ? 1 : 0);
   line << " late_ms=" << std::chrono::duration_cast<std::chrono::milliseconds>(worst_lateness_).count();
   worst_lateness_ = {};
   say_(Level::kInfo, line.str());
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -86,11 +86,11 @@
     open = true;
     used_at = link_.host_.now();
     timer_->stop();
-    const bool may_begin = link_.events_.may_begin(link_.worker_);
+    const bool may_start_work = link_.events_.may_start_work(link_.worker_);
     for (const auto& [id, what] : std::exchange(waiting, {})) {
       const Key& key = out.at(id);
-      const bool may_leave = !key.first || link_.events_.may_leave(link_.worker_, key.second);
-      if ((what.begins && !may_begin) || !may_leave)
+      const bool may_be_sent = !key.first || link_.events_.may_be_sent(link_.worker_, key.second);
+      if ((what.begins && !may_start_work) || !may_be_sent)
         link_.withhold(*this, id);
       else
         put_asked(id, what.frame);
@@ -133,9 +133,9 @@
     if (connection_->unsent() == 0) return untaken_.clear();
     const bool late = std::any_of(untaken_.begin(), untaken_.end(), [this](std::uint64_t id) {
       const auto it = out.find(id);
-      return it != out.end() && !link_.events_.may_leave(link_.worker_, it->second.second);
+      return it != out.end() && !link_.events_.may_be_sent(link_.worker_, it->second.second);
     });
-    if (late || !link_.events_.may_begin(link_.worker_)) return link_.end_later(*this);
+    if (late || !link_.events_.may_start_work(link_.worker_)) return link_.end_later(*this);
     unsent_timer_->start(kLookAtUnsentEvery);
   }
   void on_timer() {
@@ -170,7 +170,7 @@
   if (note == "booted") return Found::kBeganLoad;
   if (note == "rode") return Found::kAwaitedLoad;
   if (note == "boot_error") return Found::kLoadFailed;
-  return Found::kUntold;
+  return Found::kNotReported;
 }
 
 }  // namespace
@@ -269,7 +269,8 @@
   const bool unsent = it->second.wire->waiting.contains(it->second.id);
   give_up(key, false);
   later([this, cookie, unsent] {
-    events_.on_call_end(worker_, cookie, {unsent ? Outcome::kMoot : Outcome::kCancelled, {}, {}, {}, {}, {}});
+    events_.on_call_end(worker_, cookie,
+                        {unsent ? Outcome::kNotRun : Outcome::kCancelled, {}, {}, {}, {}, {}});
   });
 }
 
@@ -281,7 +282,7 @@
   const bool waits = it->second.wire->waiting.contains(it->second.id);
   if (!waits && it->second.wire->unsent() == 0) return;
   give_up({true, cookie}, false);
-  const Outcome outcome = waits ? Outcome::kMoot : Outcome::kCancelled;
+  const Outcome outcome = waits ? Outcome::kNotRun : Outcome::kCancelled;
   later([this, cookie, outcome] { events_.on_call_end(worker_, cookie, {outcome, {}, {}, {}, {}, {}}); });
 }
 
@@ -304,7 +305,7 @@
   const Asked what = asked->second;
   asked_.erase(asked);
   later([this, what] {
-    end(what.cookie, what.kind, what.kind == Kind::kCall ? Outcome::kMoot : Outcome::kFull, "");
+    end(what.cookie, what.kind, what.kind == Kind::kCall ? Outcome::kNotRun : Outcome::kFull, "");
   });
 }
 
@@ -395,7 +396,7 @@
   const Outcome outcome = code == Code::kOk || code == Code::kHealthy ? Outcome::kOk
                           : code == Code::kMiss                       ? Outcome::kMiss
                           : code == Code::kFull                       ? Outcome::kFull
-                          : code == Code::kOver                       ? Outcome::kMoot
+                          : code == Code::kOver                       ? Outcome::kNotRun
                                                                       : Outcome::kError;
   if (what.kind == Kind::kProbe)
     return events_.on_probe_end(worker_, what.cookie, outcome, report_of(frame.fields));
@@ -407,8 +408,8 @@
   worker::LinkEvents::CallEnd end;
   end.outcome = outcome;
   end.found = found_of(field(frame.fields, "note").value_or(""));
-  if (options_.tells_company)
-    end.company = static_cast<int>(
+  if (options_.reports_others_in_flight)
+    end.others_in_flight = static_cast<int>(
         std::clamp(number(field(frame.fields, "ahead").value_or("0")).value_or(0), 0.0F, 1e6F));
   end.report = report_of(frame.fields);
   end.body = frame.body;
@@ -437,13 +438,13 @@
     const auto value = number(pair.substr(colon + 1));
     if (named == options_.load.end() || !value) continue;
     switch (named->second) {
-      case LoadValue::kInHand: report.in_hand = value; break;
+      case LoadValue::kInHand: report.in_progress = value; break;
       case LoadValue::kWaiting: report.waiting = value; break;
       case LoadValue::kBusyCores: report.busy_cores = value; break;
       case LoadValue::kRunMs: report.run_ms = value; break;
       case LoadValue::kServed: report.served_per_s = value; break;
       case LoadValue::kErrors: report.errors_per_s = value; break;
-      case LoadValue::kMemory: report.memory_at_work = value; break;
+      case LoadValue::kMemory: report.memory_in_use = value; break;
       case LoadValue::kLoads: report.loads = value; break;
     }
   }
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -18,9 +18,9 @@
 // stood. Told as may have run: everything handed to the transport whose answer did not come, or came spoilt.
 //
 // What waits for a connection leaves only if, when the connection stands, the worker may still begin
-// something new (LinkEvents::may_begin) and the call may still leave (may_leave). Bytes that the machine does
-// not take are looked at again, and their connection ends when they may not: they would leave when the worker
-// reads.
+// something new (LinkEvents::may_start_work) and the call may still leave (may_be_sent). Bytes that the
+// machine does not take are looked at again, and their connection ends when they may not: they would leave
+// when the worker reads.
 //
 // An answer names the call's id, which all attempts of a call share, and may come twice. So an id never goes
 // over one connection twice: what comes on a connection is of the one attempt that it carried. Where each
@@ -60,7 +60,7 @@
   std::size_t most_own = 16;
   std::size_t most_unknown = 64;
   std::vector<std::pair<std::string, LoadValue>> load;  // names of a report's values, as the settings list
-  bool tells_company = false;
+  bool reports_others_in_flight = false;
 };
 
 class Link : public worker::Port {
--- a/src/policy/worker_lease.h
+++ b/src/policy/worker_lease.h
@@ -32,7 +32,7 @@
   // is asked anew. Time::max(), as at the start: the list is always current.
   void set_list_current_until(Time at) { list_current_until_ = at; }
   // The list is lease enough: discovery is heard, or has not been out of reach for long.
-  bool list_holds(Time now) const { return now < list_ends(); }
+  bool list_is_valid(Time now) const { return now < list_ends(); }
 
   // Until when something new may begin at the worker, as far as leases go; its state in the list comes first.
   Time ends(WorkerId worker) const;
--- a/src/standin/day.cpp
+++ b/src/standin/day.cpp
@@ -241,8 +241,8 @@
   WorkerOptions o;
   o.id = id, o.name = "w" + std::to_string(id), o.cores = cores, o.memory_mb = memory_mb, o.queue = queue;
   o.loads_at_once = loads_at_once, o.load_on_miss = load_on_miss, o.keep_alive = keep_alive;
-  o.cold_from = cold_from, o.cold_for = cold_for, o.fall_multiple = fall_multiple,
-  o.overload_for = overload_for;
+  o.cold_capacity_share = cold_capacity_share, o.cold_duration = cold_duration,
+  o.overload_multiple = overload_multiple, o.overload_duration = overload_duration;
   for (const DayClass& c : classes)
     for (int i = 0; i < c.functions; ++i) {
       FunctionModel m;
@@ -299,10 +299,10 @@
   Table rules = root.table("rules");
   day.drain_grace = rules.ms("drain_grace_ms", 1s);
   day.answer_grace = rules.ms("answer_grace_ms", 500ms);
-  day.cold_from = rules.number("cold_from", 0.25, 0.01, 1);
-  day.cold_for = rules.ms("cold_for_ms", 8s);
-  day.fall_multiple = rules.number("fall_multiple", 2, 0, 100);
-  day.overload_for = rules.ms("overload_for_ms", 1s);
+  day.cold_capacity_share = rules.number("cold_from", 0.25, 0.01, 1);
+  day.cold_duration = rules.ms("cold_for_ms", 8s);
+  day.overload_multiple = rules.number("fall_multiple", 2, 0, 100);
+  day.overload_duration = rules.ms("overload_for_ms", 1s);
   day.order_floor = rules.number("order_floor", 0);
   day.orders_per_call = rules.number("orders_per_call", 0);
   day.order_window = rules.ms("order_window_ms", 0s);
--- a/src/standin/day.h
+++ b/src/standin/day.h
@@ -91,8 +91,8 @@
   std::vector<std::string> die_at;
   Duration keep_alive{}, list_lag{};
   // Rules.
-  Duration drain_grace{}, answer_grace{}, cold_for{}, overload_for{}, order_window{};
-  double cold_from = 1, fall_multiple = 0, order_floor = 0, orders_per_call = 0;
+  Duration drain_grace{}, answer_grace{}, cold_duration{}, overload_duration{}, order_window{};
+  double cold_capacity_share = 1, overload_multiple = 0, order_floor = 0, orders_per_call = 0;
   std::size_t store_at_once = 8;
   // Workers load through agents of their boxes, from an OCI store: 0: they do not.
   std::uint32_t boxes = 0;
--- a/src/standin/worker.cpp
+++ b/src/standin/worker.cpp
@@ -221,8 +221,8 @@
     return crash();
   }
   Pool& pool = pools_[call.function];
-  const int company = pool.running + static_cast<int>(pool.waiting.size());
-  refused.company = static_cast<std::uint8_t>(std::min(company, 30));
+  const int others_in_flight = pool.running + static_cast<int>(pool.waiting.size());
+  refused.others_in_flight = static_cast<std::uint8_t>(std::min(others_in_flight, 30));
   if (pool.ready == 0 && pool.loading == 0 && !options_.load_on_miss) {
     refused.kind = AnswerKind::kMiss, refused.reason = "not loaded";
     return answer(&session, std::move(refused), call);
@@ -240,7 +240,8 @@
   const std::uint64_t id = next_job_++;
   const std::string name = call.function;
   Job& job = jobs_[id];
-  job.session = &session, job.call = std::move(call), job.found = found, job.company = company;
+  job.session = &session, job.call = std::move(call), job.found = found,
+  job.others_in_flight = others_in_flight;
   pool.waiting.push_back(id);
   start_waiting();
   if (take_and_reset_ > 0) {
@@ -308,7 +309,7 @@
   a.kind = failing_.contains(model.request_class) ? AnswerKind::kError : AnswerKind::kOk;
   if (a.kind == AnswerKind::kError) a.reason = "the function failed";
   a.found = job.found;
-  a.company = static_cast<std::uint8_t>(std::min(job.company, 30));
+  a.others_in_flight = static_cast<std::uint8_t>(std::min(job.others_in_flight, 30));
   if (a.kind == AnswerKind::kOk) a.body = std::move(job.call.body);
   answer(job.session, std::move(a), job.call);
   if (listener_) start_waiting();
@@ -539,22 +540,22 @@
 }
 
 double Worker::warmth() const {
-  if (!cold_since_ || options_.cold_for <= Duration(0)) return 1;
-  const double age = seconds(host_.now() - *cold_since_) / seconds(options_.cold_for);
-  return age >= 1 ? 1 : options_.cold_from + (1 - options_.cold_from) * age;
+  if (!cold_since_ || options_.cold_duration <= Duration(0)) return 1;
+  const double age = seconds(host_.now() - *cold_since_) / seconds(options_.cold_duration);
+  return age >= 1 ? 1 : options_.cold_capacity_share + (1 - options_.cold_capacity_share) * age;
 }
 
 // Rule 4's budget: the work sent within any window of the stated length, against what it can do just now.
 bool Worker::pushed_over(const FunctionModel& model) {
-  if (options_.fall_multiple <= 0 || warmth() >= 1) return false;
+  if (options_.overload_multiple <= 0 || warmth() >= 1) return false;
   const Time now = host_.now();
   cold_work_.emplace_back(now, seconds(model.work));
-  while (now - cold_work_.front().first > options_.overload_for) cold_work_.pop_front();
+  while (now - cold_work_.front().first > options_.overload_duration) cold_work_.pop_front();
   double sent = 0;
   for (const auto& [at, work] : cold_work_) sent += work;
   const double slack = 3 * seconds(model.work);  // chance: a few calls side by side prove nothing
-  const double bears =
-      options_.fall_multiple * warmth() * options_.cores * options_.speed * seconds(options_.overload_for);
+  const double bears = options_.overload_multiple * warmth() * options_.cores * options_.speed *
+                       seconds(options_.overload_duration);
   return sent > bears + slack;
 }
 
--- a/src/standin/worker.h
+++ b/src/standin/worker.h
@@ -35,10 +35,10 @@
   int loads_at_once = 4;
   bool load_on_miss = false;
   Duration keep_alive = std::chrono::seconds(10);
-  double cold_from = 1;
-  Duration cold_for{};
-  double fall_multiple = 0;  // 0: cannot be pushed over
-  Duration overload_for = std::chrono::seconds(1);
+  double cold_capacity_share = 1;
+  Duration cold_duration{};
+  double overload_multiple = 0;  // 0: cannot be pushed over
+  Duration overload_duration = std::chrono::seconds(1);
   std::map<std::string, FunctionModel> functions;
   std::optional<io::Address> store;
   // The box's agent: a load is then a pin of a version, whose bytes are read and hashed from the disk.
@@ -94,8 +94,8 @@
   struct Job {
     worker::Session* session = nullptr;  // nothing once its connection ended
     worker::Call call;
-    worker::FoundKind found = worker::FoundKind::kUntold;
-    int company = 0;
+    worker::FoundKind found = worker::FoundKind::kNotReported;
+    int others_in_flight = 0;
     bool running = false;
     bool cancelled = false;
     std::shared_ptr<const Version> version;  // that it runs, from its start to its end
--- a/src/wire/host.cpp
+++ b/src/wire/host.cpp
@@ -27,7 +27,7 @@
     case StateCode::kConnectFailed: return Outcome::kConnectFailed;
     case StateCode::kReset: return Outcome::kReset;
     case StateCode::kCancelled: return Outcome::kCancelled;
-    case StateCode::kMoot: return Outcome::kMoot;
+    case StateCode::kNotRun: return Outcome::kNotRun;
     case StateCode::kMiss: return Outcome::kMiss;
   }
   in.fail("unknown outcome code");
@@ -39,7 +39,7 @@
     case 2: return Found::kBeganLoad;
     case 3: return Found::kAwaitedLoad;
     case 4: return Found::kLoadFailed;
-    default: return Found::kUntold;
+    default: return Found::kNotReported;
   }
 }
 
@@ -49,13 +49,13 @@
   for (std::size_t i = 0; i < n; ++i) {
     const float value = in.f32();
     switch (i < columns.size() ? columns[i] : ReportColumn::kUnknown) {
-      case ReportColumn::kInHand: report.in_hand = value; break;
+      case ReportColumn::kInHand: report.in_progress = value; break;
       case ReportColumn::kWaiting: report.waiting = value; break;
       case ReportColumn::kBusyCores: report.busy_cores = value; break;
       case ReportColumn::kRunMs: report.run_ms = value; break;
       case ReportColumn::kServed: report.served_per_s = value; break;
       case ReportColumn::kErrors: report.errors_per_s = value; break;
-      case ReportColumn::kMemory: report.memory_at_work = value; break;
+      case ReportColumn::kMemory: report.memory_in_use = value; break;
       case ReportColumn::kLoads: report.loads = value; break;
       case ReportColumn::kUnknown: break;
     }
@@ -125,14 +125,14 @@
   void probe(WorkerId worker) override {
     begin(ActionCode::kInspect).u32(static_cast<std::uint32_t>(worker));
   }
-  void wake(Duration delay, TimerToken token) override {
+  void start_timer(Duration delay, TimerToken token) override {
     Writer& out = begin(ActionCode::kWakeMe);
     out.u64(nanoseconds(delay));
     out.u64(token);
   }
   void subscribe(bool enable) override { begin(ActionCode::kFollow).u8(enable ? 1 : 0); }
   void fetch_list() override { begin(ActionCode::kRefresh); }
-  void tell(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) override {
+  void send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) override {
     Writer& out = begin(ActionCode::kSignal);
     out.u32(peer.value_or(kEveryPeer));
     out.u16(static_cast<std::uint16_t>(bytes.size()));
@@ -238,7 +238,7 @@
       r.memory_mb = in.f32();
       const std::uint8_t bits = in.u8();
       if (bits & kHintValid) r.work_hint = span_of(hint);
-      r.client_repeat = bits & kClientRepeat;
+      r.is_client_retry = bits & kClientRepeat;
       r.write = bits & kIsWrite;
       r.function = static_cast<FunctionId>(in.u64());
       return to.dispatcher.on(now, r);
@@ -265,8 +265,9 @@
       r.terminal = in.u8() != 0;
       r.took = span_of(in.u64());
       r.found = found_of(info & kFoundMask);
-      if (to.settings.instances.tells_company && (r.outcome == Outcome::kOk || r.outcome == Outcome::kFull))
-        r.company = info >> kCompanyShift;
+      if (to.settings.instances.reports_others_in_flight &&
+          (r.outcome == Outcome::kOk || r.outcome == Outcome::kFull))
+        r.others_in_flight = info >> kCompanyShift;
       r.report = report_of(in, to.columns);
       return to.dispatcher.on(now, r);
     }
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -121,7 +121,7 @@
   RequestClass c;
   c.worth = pairs.number(at + "worth", 1);
   c.late_worth = pairs.number(at + "late_worth", 0);
-  c.aim_stretch = pairs.number(at + "aim_stretch", 0);
+  c.target_stretch = pairs.number(at + "aim_stretch", 0);
   c.target = pairs.duration(at + "target_ns");
   c.give_up = pairs.duration(at + "give_up_ns");
   c.semantics = choice(
@@ -175,8 +175,8 @@
   s.instances.orders = pairs.flag("family_info.orders", false);
   s.instances.on_miss = choice(pairs, "family_info.miss_mode", MissMode::kLoad,
                                {{"load", MissMode::kLoad}, {"miss", MissMode::kMiss}});
-  s.instances.tells_warm = pairs.flag("family_info.tells_warm", false);
-  s.instances.tells_company = pairs.flag("family_info.says_company", false);
+  s.instances.reports_instance_found = pairs.flag("family_info.tells_warm", false);
+  s.instances.reports_others_in_flight = pairs.flag("family_info.says_company", false);
   s.instances.keep_alive = pairs.duration("family_info.idle_life_ns");
   for (std::string_view size : pairs.list("family_info.ram_mb_by_kind"))
     s.instances.memory_mb_by_kind.push_back(Pairs::parse_number("family_info.ram_mb_by_kind", size));
@@ -185,22 +185,22 @@
   s.instances.order_window = pairs.duration("family_info.load_window_ns");
   s.instances.order_timeout = pairs.duration("family_info.load_wait_ns");
   s.instances.idle_memory_cost = pairs.number("family_info.idle_memory_cost", 0);
-  s.rules.cold_from = pairs.number("rules.cold_from", 1);
-  s.rules.cold_for = pairs.duration("rules.cold_ns");
-  s.rules.fall_multiple = pairs.number("rules.fall_multiple", 1);
-  s.rules.overload_for = pairs.duration("rules.overload_for_ns");
+  s.rules.cold_capacity_share = pairs.number("rules.cold_from", 1);
+  s.rules.cold_duration = pairs.duration("rules.cold_ns");
+  s.rules.overload_multiple = pairs.number("rules.fall_multiple", 1);
+  s.rules.overload_duration = pairs.duration("rules.overload_for_ns");
   s.rules.drain_grace = pairs.duration("rules.drain_grace_ns");
   s.rules.answer_grace = pairs.duration("rules.grace_to_answer_ns");
   s.rules.ask_within = pairs.duration("rules.ask_within_ns");
-  s.list_must_be_asked = choice(pairs, "discovery", false, {{"push", false}, {"ask", true}});
+  s.list_needs_subscription = choice(pairs, "discovery", false, {{"push", false}, {"ask", true}});
   s.worth_by_work = choice(pairs, "counted_by", false, {{"request", false}, {"work", true}});
   s.over_share_worth = pairs.number("over_share_worth", 1);
-  s.waste_price = pairs.number("deductions.waste", 0);
-  s.late_fail_price = pairs.number("deductions.late_fail", 0);
-  s.fetch_price = pairs.number("deductions.origin", 0);
-  s.order_price = pairs.number("deductions.probe", 0);
+  s.waste_cost = pairs.number("deductions.waste", 0);
+  s.late_failure_cost = pairs.number("deductions.late_fail", 0);
+  s.fetch_cost = pairs.number("deductions.origin", 0);
+  s.order_cost = pairs.number("deductions.probe", 0);
   s.tick = pairs.duration("tick_ns");
-  s.me = static_cast<std::uint32_t>(pairs.whole("me", 0));
+  s.replica_index = static_cast<std::uint32_t>(pairs.whole("me", 0));
   s.replicas = static_cast<std::uint32_t>(pairs.whole("replicas_of_me", 1));
   for (std::string_view word : pairs.list("stats.columns")) launch.columns.push_back(column_of(word, pairs));
   launch.unread = pairs.unread();
--- a/src/wire/words.h
+++ b/src/wire/words.h
@@ -45,7 +45,7 @@
   kConnectFailed = 50,
   kReset = 60,
   kCancelled = 70,
-  kMoot = 80,
+  kNotRun = 80,
   kMiss = 90,
 };
 
--- a/src/worker/link.cpp
+++ b/src/worker/link.cpp
@@ -9,13 +9,13 @@
 LoadReport to_load_report(const Report& report) {
   LoadReport r;
   for (const auto& [field, value] : report.values) switch (static_cast<ReportField>(field)) {
-      case ReportField::kInHand: r.in_hand = value; break;
+      case ReportField::kInHand: r.in_progress = value; break;
       case ReportField::kWaiting: r.waiting = value; break;
       case ReportField::kBusyCores: r.busy_cores = value; break;
       case ReportField::kRunMs: r.run_ms = value; break;
       case ReportField::kServedPerS: r.served_per_s = value; break;
       case ReportField::kErrorsPerS: r.errors_per_s = value; break;
-      case ReportField::kMemoryAtWork: r.memory_at_work = value; break;
+      case ReportField::kMemoryAtWork: r.memory_in_use = value; break;
       case ReportField::kLoads: r.loads = value; break;
     }
   return r;
@@ -34,13 +34,13 @@
 
 Found found_of(FoundKind kind) {
   switch (kind) {
-    case FoundKind::kUntold: return Found::kUntold;
+    case FoundKind::kNotReported: return Found::kNotReported;
     case FoundKind::kLoaded: return Found::kLoaded;
     case FoundKind::kBeganLoad: return Found::kBeganLoad;
     case FoundKind::kAwaitedLoad: return Found::kAwaitedLoad;
     case FoundKind::kLoadFailed: return Found::kLoadFailed;
   }
-  return Found::kUntold;
+  return Found::kNotReported;
 }
 
 }  // namespace
@@ -125,7 +125,7 @@
 
 void Link::withdraw(std::uint64_t cookie) {
   if (forget_waiting(cookie))
-    later([this, cookie] { events_.on_call_end(worker_, cookie, {Outcome::kMoot, {}, {}, {}, {}, {}}); });
+    later([this, cookie] { events_.on_call_end(worker_, cookie, {Outcome::kNotRun, {}, {}, {}, {}, {}}); });
 }
 
 void Link::withdraw_waiting() {
@@ -134,17 +134,17 @@
 }
 
 // What waited for the connection was decided a while ago.
-bool Link::may_leave(const Waiting& waiting) {
+bool Link::may_be_sent(const Waiting& waiting) {
   if (std::holds_alternative<Probe>(waiting.message)) return true;
   const auto* hold = std::get_if<Hold>(&waiting.message);
   if (hold && hold->instances == 0) return true;  // a question is nothing new
-  if (!events_.may_begin(worker_)) return false;
-  return hold || events_.may_leave(worker_, waiting.cookie);
+  if (!events_.may_start_work(worker_)) return false;
+  return hold || events_.may_be_sent(worker_, waiting.cookie);
 }
 
 // Nothing of it left, and nothing will.
 void Link::end_unsent(const Message& message, std::uint64_t cookie) {
-  end_waiting(message, cookie, std::holds_alternative<Call>(message) ? Outcome::kMoot : Outcome::kFull);
+  end_waiting(message, cookie, std::holds_alternative<Call>(message) ? Outcome::kNotRun : Outcome::kFull);
 }
 
 bool Link::forget_waiting(std::uint64_t cookie) {
@@ -234,7 +234,7 @@
     dialing_->stop();
     peer_max_frame_ = std::max(hello->max_frame, kHelloMaxFrame);
     for (Waiting& w : std::exchange(waiting_, {})) {
-      if (!may_leave(w)) {
+      if (!may_be_sent(w)) {
         later([this, m = std::move(w.message), cookie = w.cookie] { end_unsent(m, cookie); });
         continue;
       }
@@ -286,7 +286,7 @@
   LinkEvents::CallEnd end;
   end.outcome = outcome_of(answer.kind);
   end.found = found_of(answer.found);
-  if (answer.company != kCompanyUntold) end.company = answer.company;
+  if (answer.others_in_flight != kCompanyUntold) end.others_in_flight = answer.others_in_flight;
   end.report = to_load_report(answer.report);
   end.reason = std::move(answer.reason);
   end.body = std::move(answer.body);
--- a/src/worker/link.h
+++ b/src/worker/link.h
@@ -67,7 +67,7 @@
   void on_answer(Answer answer);
   void on_drain(std::uint64_t last_taken);
   void lost(io::Closed why);
-  bool may_leave(const Waiting& waiting);
+  bool may_be_sent(const Waiting& waiting);
   void end_unsent(const Message& message, std::uint64_t cookie);
   void end_waiting(const Message& message, std::uint64_t cookie, Outcome outcome);
   void later(std::function<void()> what);
--- a/src/worker/port.h
+++ b/src/worker/port.h
@@ -22,8 +22,8 @@
   virtual ~LinkEvents() = default;
   struct CallEnd {
     Outcome outcome = Outcome::kOk;
-    Found found = Found::kUntold;
-    std::optional<int> company;
+    Found found = Found::kNotReported;
+    std::optional<int> others_in_flight;
     LoadReport report;
     std::string reason, body;
   };
@@ -33,9 +33,9 @@
   virtual void on_probe_end(WorkerId worker, std::uint64_t cookie, Outcome outcome, LoadReport report) = 0;
   // Whether something new may begin at the worker now. Asked at the moment at which the bytes of a call or of
   // an order to load would leave that waited for a connection, or that the machine has not taken.
-  virtual bool may_begin(WorkerId) { return true; }
+  virtual bool may_start_work(WorkerId) { return true; }
   // Whether a call's bytes may still leave that has waited since it was given; asked at the same moments.
-  virtual bool may_leave(WorkerId, std::uint64_t) { return true; }
+  virtual bool may_be_sent(WorkerId, std::uint64_t) { return true; }
   // The bytes of a call were handed to the transport, on the connection of that number of the port's own.
   virtual void on_call_left(WorkerId, std::uint64_t, std::uint64_t) {}
   // A connection to the worker ended; `why` is one of a few fixed texts.
--- a/src/worker/protocol.cpp
+++ b/src/worker/protocol.cpp
@@ -54,7 +54,7 @@
       m.id = in.u64(), m.kind = among(in, AnswerKind::kCancelled);
       const std::uint8_t found = in.u8();
       if (found > static_cast<std::uint8_t>(FoundKind::kLoadFailed)) in.fail();
-      m.found = static_cast<FoundKind>(found), m.company = in.u8();
+      m.found = static_cast<FoundKind>(found), m.others_in_flight = in.u8();
       m.report = report(in), m.reason = text(in), m.body = in.rest();
       return m;
     }
@@ -105,7 +105,7 @@
   void operator()(const Cancel& m) { w.u64(m.id); }
   void operator()(const Answer& m) {
     w.u64(m.id), w.u8(static_cast<std::uint8_t>(m.kind)), w.u8(static_cast<std::uint8_t>(m.found));
-    w.u8(m.company), report(w, m.report), text(w, m.reason), w.bytes(m.body);
+    w.u8(m.others_in_flight), report(w, m.report), text(w, m.reason), w.bytes(m.body);
   }
   void operator()(const Piece& m) { w.u64(m.id), w.bytes(m.body); }
   void operator()(const Hold& m) { w.u64(m.order), w.u8(m.instances), text(w, m.function); }
--- a/src/worker/protocol.h
+++ b/src/worker/protocol.h
@@ -39,7 +39,7 @@
 
 // What became of a call, as the worker says. Full and miss say that it never ran here and never will.
 enum class AnswerKind : std::uint8_t { kOk = 1, kError, kFull, kMiss, kCancelled };
-enum class FoundKind : std::uint8_t { kUntold = 0, kLoaded, kBeganLoad, kAwaitedLoad, kLoadFailed };
+enum class FoundKind : std::uint8_t { kNotReported = 0, kLoaded, kBeganLoad, kAwaitedLoad, kLoadFailed };
 // What became of a hold order: held, or no room, or a load failed.
 enum class HeldKind : std::uint8_t { kOk = 1, kFull, kLoadFailed };
 
@@ -79,8 +79,8 @@
 struct Answer {
   std::uint64_t id = 0;
   AnswerKind kind = AnswerKind::kOk;
-  FoundKind found = FoundKind::kUntold;
-  std::uint8_t company = kCompanyUntold;  // calls of the function that were here when this one came
+  FoundKind found = FoundKind::kNotReported;
+  std::uint8_t others_in_flight = kCompanyUntold;  // calls of the function that were here when this one came
   Report report;
   std::string reason;
   std::string body;
--- a/tests/bench.h
+++ b/tests/bench.h
@@ -40,14 +40,14 @@
   s.bounds.attempts_cap = 6;
   s.bounds.may_cancel = true;
   s.instances.orders = true;
-  s.instances.tells_warm = true;
+  s.instances.reports_instance_found = true;
   s.instances.keep_alive = 8s;
   s.instances.memory_mb_by_kind = {4000};
   s.instances.order_timeout = 10s;
-  s.rules.cold_from = 0.25;
-  s.rules.cold_for = 18s;
-  s.rules.fall_multiple = 2;
-  s.rules.overload_for = 1s;
+  s.rules.cold_capacity_share = 0.25;
+  s.rules.cold_duration = 18s;
+  s.rules.overload_multiple = 2;
+  s.rules.overload_duration = 1s;
   s.rules.drain_grace = 1s;
   s.rules.answer_grace = 16ms;
   s.tick = 4ms;
@@ -84,7 +84,7 @@
     dispatcher.on(now, r);
     return r.id;
   }
-  void answer(const Action& sent, Outcome outcome, bool terminal = false, Found found = Found::kUntold) {
+  void answer(const Action& sent, Outcome outcome, bool terminal = false, Found found = Found::kNotReported) {
     AttemptResult r;
     r.request = sent.request;
     r.worker = sent.worker;
@@ -146,12 +146,12 @@
   void hold(WorkerId w, FunctionId f, int n) override { actions.push_back({Did::kHold, now, {}, w, f, n}); }
   void release(WorkerId w, FunctionId f) override { actions.push_back({Did::kRelease, now, {}, w, f, 0}); }
   void probe(WorkerId w) override { actions.push_back({Did::kProbe, now, {}, w, {}, 0}); }
-  void wake(Duration delay, TimerToken token) override {
+  void start_timer(Duration delay, TimerToken token) override {
     timers.emplace_back(now + std::max<Duration>(delay, 1ms), token);
   }
   void subscribe(bool on) override { actions.push_back({Did::kSubscribe, now, {}, {}, {}, on ? 1 : 0}); }
   void fetch_list() override { actions.push_back({Did::kFetch, now, {}, {}, {}, 0}); }
-  void tell(std::optional<std::uint32_t>, std::span<const std::byte>) override {
+  void send_to_peer(std::optional<std::uint32_t>, std::span<const std::byte>) override {
     actions.push_back({Did::kTell, now, {}, {}, {}, 0});
   }
   void log(std::string_view line) override { lines.emplace_back(line); }
--- a/tests/check/judge_test.cpp
+++ b/tests/check/judge_test.cpp
@@ -15,7 +15,7 @@
   r.classes["safe"] = {"repeatable", "all", 0, 0.1};
   r.class_of_function = {{"f", "safe"}};
   r.rack_of_worker = {{"1", "a"}, {"2", "a"}, {"3", "b"}};
-  r.cold_from = 0.2, r.cold_for_s = 10, r.fall_multiple = 2, r.worker_cores = 2;
+  r.cold_capacity_share = 0.2, r.cold_for_s = 10, r.overload_multiple = 2, r.worker_cores = 2;
   r.order_window_s = 5, r.order_floor = 2, r.orders_per_call = 0.5;
   return r;
 }
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -18,10 +18,10 @@
   void hold(lt::WorkerId, lt::FunctionId, int) override {}
   void release(lt::WorkerId, lt::FunctionId) override {}
   void probe(lt::WorkerId) override {}
-  void wake(lt::Duration, lt::TimerToken) override { ++timers; }
+  void start_timer(lt::Duration, lt::TimerToken) override { ++timers; }
   void subscribe(bool) override {}
   void fetch_list() override {}
-  void tell(std::optional<std::uint32_t>, std::span<const std::byte>) override {}
+  void send_to_peer(std::optional<std::uint32_t>, std::span<const std::byte>) override {}
   void log(std::string_view) override {}
 
   std::vector<lt::WorkerId> sent;
--- a/tests/controller/gateway_test.cpp
+++ b/tests/controller/gateway_test.cpp
@@ -1,16 +1,16 @@
 // The whole path, in virtual time: what a message meets from the broker to a worker and back.
-#include "town.h"
+#include "gateway_fixture.h"
 
 namespace laureltide::test {
 namespace {
 
-bool settled(Town& town, Duration most = 20s) {
+bool settled(GatewayFixture& town, Duration most = 20s) {
   return town.net.run_until(
       [&] { return town.broker.unacked("calls") == 0 && town.broker.depth("calls") == 0; }, most);
 }
 
 TEST(Gateway, ServesACallAndAcknowledgesIt) {
-  Town town;
+  GatewayFixture town;
   town.start();
   const std::string name = town.call("echo");
   ASSERT_TRUE(town.wait_answer(name));
@@ -21,7 +21,7 @@
 }
 
 TEST(Gateway, ServesInConfirmModeToo) {
-  Town town(2, 1, settings("answers = \"confirm\"\n"));
+  GatewayFixture town(2, 1, settings("answers = \"confirm\"\n"));
   town.start();
   const std::string name = town.call("gate");
   ASSERT_TRUE(town.wait_answer(name));
@@ -30,7 +30,7 @@
 }
 
 TEST(Gateway, SeveralQueuesOfOneBroker) {
-  Town town(2, 1, [] {
+  GatewayFixture town(2, 1, [] {
     std::string text = settings_text();
     text.replace(text.find("[\"calls\"]"), 9, "[\"calls\", \"more\"]");
     return std::make_shared<const config::Settings>(*config::parse(text, "t").settings);
@@ -45,11 +45,11 @@
   ASSERT_TRUE(
       town.net.run_until([&] { return town.answers("same") == 1 && other.answers().count("same") == 1; }));
   EXPECT_EQ(other.answers().find("same")->second.body, "b");
-  EXPECT_EQ(town.ran("same"), 2U);
+  EXPECT_EQ(town.run_count("same"), 2U);
 }
 
 TEST(Gateway, SeveralBrokersInOneGateway) {
-  Town town(
+  GatewayFixture town(
       2, 1,
       settings("", "[[broker]]\nname = \"second\"\naddress = \"127.0.0.1:5673\"\nqueues = [\"calls\"]\n"));
   standin::Broker second(town.net, {}, town.tape);
@@ -67,12 +67,13 @@
 
 TEST(Gateway, MessageWithoutReplyToIsRunAndAcknowledged) {
   for (const char* mode : {"answers = \"transaction\"\n", "answers = \"confirm\"\n"}) {
-    Town town(2, 1, settings(mode));
+    GatewayFixture town(2, 1, settings(mode));
     town.start();
     standin::CallToMake c;
     c.wants_answer = false;
     const std::string name = town.call("gate", c);
-    ASSERT_TRUE(town.net.run_until([&] { return town.ran(name) == 1 && town.broker.unacked("calls") == 0; }));
+    ASSERT_TRUE(
+        town.net.run_until([&] { return town.run_count(name) == 1 && town.broker.unacked("calls") == 0; }));
     EXPECT_EQ(town.answers(name), 0U);
     EXPECT_EQ(town.broker.depth("calls"), 0U);
   }
@@ -102,7 +103,7 @@
   for (const Odd& o : odd) {
     if (*o.reason == 0) continue;
     SCOPED_TRACE(o.what);
-    Town town;
+    GatewayFixture town;
     town.start();
     struct Raw : amqp::EndpointEvents {
       amqp::Endpoint* endpoint = nullptr;
@@ -141,7 +142,7 @@
 }
 
 TEST(Gateway, BodyInManyFrames) {
-  Town town(2, 1, settings("frame_max = 4096\n", ""), 3000);
+  GatewayFixture town(2, 1, settings("frame_max = 4096\n", ""), 3000);
   town.start();
   standin::CallToMake c;
   // A smaller frame than any peer may ask for: 333 bytes a frame would be illegal, so the body is long
@@ -158,17 +159,17 @@
 TEST(Gateway, ConnectionDropsWhileAGateReleaseIsOut) {
   for (const char* mode : {"answers = \"transaction\"\n", "answers = \"confirm\"\n"})
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      Town town(2, seed, settings(mode));
+      GatewayFixture town(2, seed, settings(mode));
       town.start();
       const std::string name = town.call("gate");
-      ASSERT_TRUE(town.net.run_until([&] { return town.ran(name) == 1; }));
+      ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
       town.broker.break_connections("gw-0");
       ASSERT_TRUE(town.wait_answer(name)) << seed;
       EXPECT_EQ(town.outcome(name), "served");
       EXPECT_TRUE(settled(town));
       town.net.run_for(3s);
       EXPECT_EQ(town.answers(name), 1U) << seed;
-      EXPECT_EQ(town.ran(name), 1U) << seed;  // the redelivered message joined the open call
+      EXPECT_EQ(town.run_count(name), 1U) << seed;  // the redelivered message joined the open call
       EXPECT_GE(town.tape.count("delivered", name), 2U);
     }
 }
@@ -176,7 +177,7 @@
 TEST(Gateway, ConnectionDropsAtAnyMomentOfACall) {
   // The drop walks over the whole life of a call in small steps: before, while and after it runs and commits.
   for (int step = 0; step < 120; ++step) {
-    Town town(2, 3);
+    GatewayFixture town(2, 3);
     town.start();
     town.call("echo", {"warm", "", "", "", "", "", {}, true});
     ASSERT_TRUE(town.wait_answer("warm"));
@@ -187,25 +188,25 @@
     EXPECT_TRUE(settled(town)) << step;
     town.net.run_for(5s);
     EXPECT_EQ(town.answers(name), 1U) << step;
-    EXPECT_LE(town.ran(name), 1U) << step;
+    EXPECT_LE(town.run_count(name), 1U) << step;
     EXPECT_EQ(town.outcome(name), "served") << step << town.reason(name);
   }
 }
 
 TEST(Gateway, CommitThatIsLostOnItsWayBackIsNotAnsweredAgain) {
-  Town town;
+  GatewayFixture town;
   town.start();
   town.broker.lose_commits(1);
   const std::string name = town.call("gate");
   ASSERT_TRUE(town.wait_answer(name));
   town.net.run_for(5s);
   EXPECT_EQ(town.answers(name), 1U);
-  EXPECT_EQ(town.ran(name), 1U);
+  EXPECT_EQ(town.run_count(name), 1U);
   EXPECT_TRUE(settled(town));
 }
 
 TEST(Gateway, CommitThatNeverArrivedIsMadeAgainWithTheSameAnswer) {
-  Town town;
+  GatewayFixture town;
   town.start();
   town.broker.refuse_commits(1);
   const std::string name = town.call("gate");
@@ -213,15 +214,15 @@
   EXPECT_TRUE(settled(town));
   EXPECT_EQ(town.outcome(name), "served");
   EXPECT_EQ(town.answers(name), 1U);
-  EXPECT_EQ(town.ran(name), 1U);
+  EXPECT_EQ(town.run_count(name), 1U);
 }
 
 TEST(Gateway, RedeliveredOnceCallOfAnotherLifeIsFailedNotRun) {
-  Town town;
+  GatewayFixture town;
   town.start();
   town.worker(1).set_slow(50), town.worker(2).set_slow(50);
   const std::string gate = town.call("gate"), echo = town.call("echo");
-  ASSERT_TRUE(town.net.run_until([&] { return town.ran(gate) == 1 && town.ran(echo) == 1; }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.run_count(gate) == 1 && town.run_count(echo) == 1; }));
   town.gateway.reset();  // killed: nothing is said to anyone
   town.worker(1).set_slow(1), town.worker(2).set_slow(1);
   town.start_gateway(8);
@@ -229,12 +230,12 @@
   ASSERT_TRUE(town.wait_answer(echo));
   EXPECT_EQ(town.outcome(gate), "failed");
   EXPECT_EQ(town.outcome(echo), "served");  // safe to repeat
-  EXPECT_EQ(town.ran(gate), 1U);
+  EXPECT_EQ(town.run_count(gate), 1U);
   EXPECT_EQ(town.answers(gate), 1U);
 }
 
 TEST(Gateway, BrokerThatStopsReadingGetsNoMoreCallsTaken) {
-  Town town(2, 1, settings());
+  GatewayFixture town(2, 1, settings());
   town.start();
   town.broker.set_deaf(true, "gw-0");
   std::string body(900'000, 'b');
@@ -250,21 +251,21 @@
 }
 
 TEST(Gateway, ChannelClosedWith406IsOpenedAgainAndNothingIsLost) {
-  Town town;
+  GatewayFixture town;
   town.start();
   const std::string name = town.call("gate");
-  ASSERT_TRUE(town.net.run_until([&] { return town.ran(name) == 1; }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
   town.broker.close_channels(amqp::ReplyCode::kPreconditionFailed, "told to", "gw-0");
   ASSERT_TRUE(town.wait_answer(name));
-  EXPECT_TRUE(town.log.said("channel closed: 406 told to"));
+  EXPECT_TRUE(town.log.contains("channel closed: 406 told to"));
   EXPECT_EQ(town.outcome(name), "served");
   EXPECT_TRUE(settled(town));
   EXPECT_EQ(town.answers(name), 1U);
-  EXPECT_EQ(town.ran(name), 1U);
+  EXPECT_EQ(town.run_count(name), 1U);
 }
 
 TEST(Gateway, ConsumerCancelledByTheBrokerConsumesAgain) {
-  Town town;
+  GatewayFixture town;
   town.start();
   town.broker.cancel_consumers("gw-0");
   town.net.run_for(1s);
@@ -274,50 +275,50 @@
 }
 
 TEST(Gateway, HeartbeatsStopAndTheConnectionIsGivenUp) {
-  Town town;
+  GatewayFixture town;
   town.start();
   const std::string name = town.call("gate");
-  ASSERT_TRUE(town.net.run_until([&] { return town.ran(name) == 1; }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
   town.broker.set_mute(true, "gw-0");
-  ASSERT_TRUE(town.net.run_until([&] { return town.log.said("no heartbeat"); }, 15s));
+  ASSERT_TRUE(town.net.run_until([&] { return town.log.contains("no heartbeat"); }, 15s));
   ASSERT_TRUE(town.wait_answer(name));
   town.net.run_for(3s);
   EXPECT_EQ(town.answers(name), 1U);
-  EXPECT_EQ(town.ran(name), 1U);
+  EXPECT_EQ(town.run_count(name), 1U);
 }
 
 TEST(Gateway, HeartbeatsKeepAnIdleConnection) {
-  Town town;
+  GatewayFixture town;
   town.start();
   town.net.run_for(60s);
   EXPECT_EQ(town.tape.count("disconnected"), 0U);
 }
 
 TEST(Gateway, FlowStopsAnswersUntilItIsGivenBack) {
-  Town town;
+  GatewayFixture town;
   town.start();
   town.broker.set_flow(false);
   town.net.run_for(10ms);
   const std::string name = town.call("echo");
   town.net.run_for(2s);
   EXPECT_EQ(town.answers(name), 0U);
-  EXPECT_EQ(town.ran(name), 1U);
+  EXPECT_EQ(town.run_count(name), 1U);
   town.broker.set_flow(true);
   EXPECT_TRUE(town.wait_answer(name));
 }
 
 TEST(Gateway, TwoMessagesOfOneNameRunOnceAndAreBothAnswered) {
-  Town town;
+  GatewayFixture town;
   town.start();
   town.call("gate", {"same", "", "", "", "", "x", {}, true});
   town.call("gate", {"same", "", "", "", "", "x", {}, true});
   ASSERT_TRUE(town.net.run_until([&] { return town.answers("same") == 2; }));
-  EXPECT_EQ(town.ran("same"), 1U);
+  EXPECT_EQ(town.run_count("same"), 1U);
   EXPECT_TRUE(settled(town));
 }
 
 TEST(Gateway, AnswerWithoutAQueueIsToldAndTheMessageIsAcknowledged) {
-  Town town;
+  GatewayFixture town;
   town.start();
   struct Nowhere : standin::Caller {
     using standin::Caller::Caller;
@@ -326,14 +327,14 @@
   ASSERT_TRUE(town.net.run_until([&] { return other.ready(); }));
   town.worker(1).set_slow(20), town.worker(2).set_slow(20);
   other.call({"lost", "echo", "", "", "", "b", {}, true});
-  ASSERT_TRUE(town.net.run_until([&] { return town.ran("lost") == 1; }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.run_count("lost") == 1; }));
   town.broker.drop("short-lived");
-  ASSERT_TRUE(town.net.run_until([&] { return town.log.said("an answer found no queue"); }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.log.contains("an answer found no queue"); }));
   EXPECT_TRUE(settled(town));
 }
 
 TEST(Gateway, TenThousandCallsQueuedWhileItWasDown) {
-  Town town(4, 1, settings("", ""));
+  GatewayFixture town(4, 1, settings("", ""));
   town.caller =
       std::make_unique<standin::Caller>(town.net, standin::CallerOptions{town.broker_at}, town.tape);
   ASSERT_TRUE(town.net.run_until([&] { return town.caller->ready(); }));
@@ -361,7 +362,7 @@
 TEST(Gateway, RefusesOverItsBoundOfOpenCalls) {
   auto narrow = std::make_shared<config::Settings>(*settings());
   narrow->module.bounds.max_open = 3;
-  Town town(1, 1, narrow);
+  GatewayFixture town(1, 1, narrow);
   town.start();
   town.worker(1).set_slow(20);
   for (int i = 0; i < 10; ++i) town.call("echo");
@@ -374,7 +375,7 @@
 // ---- Workers ------------------------------------------------------------------------------------------
 
 TEST(Gateway, WorkerResetsAfterTakingACallAndBeforeAnswering) {
-  Town town;
+  GatewayFixture town;
   town.start();
   for (std::uint32_t id : {1, 2}) town.worker(id).take_and_reset(1000);
   const std::string gate = town.call("gate");
@@ -388,7 +389,7 @@
 }
 
 TEST(Gateway, WorkerBreaksOffInTheMiddleOfAnAnswer) {
-  Town town;
+  GatewayFixture town;
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("first"));
@@ -396,12 +397,12 @@
   const std::string gate = town.call("gate");
   ASSERT_TRUE(town.wait_answer(gate));
   EXPECT_EQ(town.outcome(gate), "failed");
-  EXPECT_EQ(town.ran(gate), 1U);
+  EXPECT_EQ(town.run_count(gate), 1U);
   EXPECT_EQ(town.answers(gate), 1U);
 }
 
 TEST(Gateway, WorkerAnswersAfterTheDeadlineTwiceAndForACallNeverSent) {
-  Town town;
+  GatewayFixture town;
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("first"));
@@ -411,7 +412,7 @@
   EXPECT_EQ(town.outcome(late), "failed");
   town.net.run_for(6s);
   EXPECT_EQ(town.answers(late), 1U);
-  EXPECT_TRUE(town.log.said("nobody waits for any more"));
+  EXPECT_TRUE(town.log.contains("nobody waits for any more"));
   for (std::uint32_t id : {1, 2})
     town.worker(id).answer_late(0, 0s), town.worker(id).answer_twice(1), town.worker(id).answer_ghosts(1);
   town.call("gate", {"again", "", "", "", "", "", {}, true});
@@ -419,11 +420,11 @@
   town.net.run_for(1s);
   EXPECT_EQ(town.answers("again"), 1U);
   EXPECT_EQ(town.outcome("again"), "served");
-  EXPECT_TRUE(town.log.said("an answer to a call never sent"));
+  EXPECT_TRUE(town.log.contains("an answer to a call never sent"));
 }
 
 TEST(Gateway, TwoHundredCallsInFlightOnAConnectionThatDies) {
-  Town town(1);
+  GatewayFixture town(1);
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("first"));
@@ -432,28 +433,28 @@
   for (int i = 0; i < 199; ++i) names.push_back(town.call("gate", {"", "", "", "", "", "", 20'000, true}));
   ASSERT_TRUE(town.net.run_until([&] { return town.tape.count("call") >= 200; }, 5s) || true);
   town.net.run_for(500ms);
-  town.net.break_connections(Town::worker_at(1));
+  town.net.break_connections(GatewayFixture::worker_at(1));
   ASSERT_TRUE(town.net.run_until([&] { return town.caller->answers().size() == 200; }, 60s));
   for (const std::string& name : names) {
     EXPECT_EQ(town.answers(name), 1U);
-    EXPECT_LE(town.ran(name), 1U);
+    EXPECT_LE(town.run_count(name), 1U);
     // A call that reached the worker may have run; one that did not is free to be refused or served.
     if (town.outcome(name) == "refused") {
-      EXPECT_EQ(town.ran(name), 0U);
+      EXPECT_EQ(town.run_count(name), 0U);
     }
   }
   EXPECT_TRUE(settled(town));
 }
 
 TEST(Gateway, ListSaysGoneWhileCallsAreOut) {
-  Town town(2);
+  GatewayFixture town(2);
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("first"));
   town.worker(1).set_slow(10), town.worker(2).set_slow(10);
   const std::string name = town.call("gate");
-  ASSERT_TRUE(town.net.run_until([&] { return town.ran(name) == 1; }));
-  town.say(1, WorkerState::kGone), town.say(2, WorkerState::kGone);
+  ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
+  town.set_worker_state(1, WorkerState::kGone), town.set_worker_state(2, WorkerState::kGone);
   ASSERT_TRUE(town.wait_answer(name));
   EXPECT_EQ(town.outcome(name), "served");  // what is out is heard to its end
   const std::size_t before = town.tape.count("call") + town.tape.count("hold");
@@ -465,7 +466,7 @@
 }
 
 TEST(Gateway, ListThatGoesBackwardsIsPassedOver) {
-  Town town(2);
+  GatewayFixture town(2);
   town.start();
   town.net.run_for(100ms);
   town.list.send_old(1);  // an older list that knows of nobody
@@ -476,13 +477,13 @@
 }
 
 TEST(Gateway, ListServiceThatWasRebornIsHeard) {
-  Town town(2);
+  GatewayFixture town(2);
   town.start();
-  for (int i = 0; i < 20; ++i) town.say(2, WorkerState::kReady);
+  for (int i = 0; i < 20; ++i) town.set_worker_state(2, WorkerState::kReady);
   town.net.run_for(100ms);
   town.list.rebirth();  // counts from 1 again, in a later epoch
   town.net.run_for(100ms);
-  town.say(1, WorkerState::kGone), town.say(2, WorkerState::kGone);
+  town.set_worker_state(1, WorkerState::kGone), town.set_worker_state(2, WorkerState::kGone);
   town.net.run_for(1500ms);
   const std::string name = town.call("echo");
   ASSERT_TRUE(town.wait_answer(name));
@@ -490,11 +491,11 @@
 }
 
 TEST(Gateway, GapInTheListAsksForAFullOne) {
-  Town town(2);
+  GatewayFixture town(2);
   town.start();
   town.net.run_for(50ms);
   town.list.skip_version();
-  town.say(1, WorkerState::kGone), town.say(2, WorkerState::kGone);
+  town.set_worker_state(1, WorkerState::kGone), town.set_worker_state(2, WorkerState::kGone);
   town.net.run_for(1500ms);
   const std::string name = town.call("echo");
   ASSERT_TRUE(town.wait_answer(name));
@@ -502,14 +503,14 @@
 }
 
 TEST(Gateway, GarbageFromTheListServiceLosesNothing) {
-  Town town(2);
+  GatewayFixture town(2);
   town.start();
   town.net.run_for(50ms);
   town.list.send_raw("{\"scope\":\"full\",\"version\":99,\"workers\":[{\"id\":1,\"at\":\"nowhere\"}]}\n");
   town.list.send_raw("\xff\xfe garbage\n");
   town.list.send_raw("[]\n");
   town.net.run_for(50ms);
-  EXPECT_TRUE(town.log.said("list passed over: worker 1: no address"));
+  EXPECT_TRUE(town.log.contains("list passed over: worker 1: no address"));
   const std::string name = town.call("echo");
   ASSERT_TRUE(town.wait_answer(name));
   EXPECT_EQ(town.outcome(name), "served");
@@ -517,7 +518,7 @@
 
 TEST(Gateway, DrainNoticeWithOrdersAndCallsQueued) {
   // The worker says that nothing above the last id was taken: what was on its way is proven not to have run.
-  Town town(1);
+  GatewayFixture town(1);
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("first"));
@@ -527,11 +528,11 @@
   for (int i = 0; i < 8; ++i) names.push_back(town.call("gate"));
   town.net.run_until([&] { return town.gateway->core().counters().attempts >= 2; });
   town.worker(1).drain();
-  town.say(1, WorkerState::kDraining);
+  town.set_worker_state(1, WorkerState::kDraining);
   for (const std::string& name : names) {
     ASSERT_TRUE(town.wait_answer(name));
     EXPECT_EQ(town.outcome(name), "served") << town.reason(name);
-    EXPECT_EQ(town.ran(name), 1U);
+    EXPECT_EQ(town.run_count(name), 1U);
   }
   const std::size_t at_one = [&] {
     std::size_t n = 0;
@@ -548,13 +549,13 @@
 }
 
 TEST(Gateway, AllWorkersDownAtTheStart) {
-  Town town(2);
+  GatewayFixture town(2);
   town.worker(1).crash(), town.worker(2).crash();
   town.start();
   const std::string name = town.call("gate");
   ASSERT_TRUE(town.wait_answer(name));
   EXPECT_EQ(town.outcome(name), "refused");  // no connection was ever made: it did not run
-  town.worker(1).listen(Town::worker_at(1));
+  town.worker(1).listen(GatewayFixture::worker_at(1));
   town.net.run_for(3s);
   const std::string later = town.call("gate");
   ASSERT_TRUE(town.wait_answer(later));
@@ -563,15 +564,15 @@
 
 TEST(Gateway, WallClockJumpsChangeNothing) {
   auto with_cold_rule = std::make_shared<config::Settings>(*settings());
-  with_cold_rule->module.rules.cold_from = 0.01, with_cold_rule->module.rules.cold_for = 20s;
-  with_cold_rule->module.rules.fall_multiple = 1, with_cold_rule->module.rules.overload_for = 1s;
-  Town town(1, 1, with_cold_rule);
+  with_cold_rule->module.rules.cold_capacity_share = 0.01, with_cold_rule->module.rules.cold_duration = 20s;
+  with_cold_rule->module.rules.overload_multiple = 1, with_cold_rule->module.rules.overload_duration = 1s;
+  GatewayFixture town(1, 1, with_cold_rule);
   const std::int64_t started = town.net.unix_ms() - 3'600'000;
-  town.say(1, WorkerState::kReady, started);
+  town.set_worker_state(1, WorkerState::kReady, started);
   town.start();
   ASSERT_TRUE(town.wait_answer(town.call("gate")));
   town.net.wall_shift_ms = -86'400'000;
-  town.say(1, WorkerState::kReady, started);  // the same start: no restart, so it is not cold
+  town.set_worker_state(1, WorkerState::kReady, started);  // the same start: no restart, so it is not cold
   town.net.run_for(20ms);
   std::vector<std::string> names;
   for (int i = 0; i < 4; ++i) names.push_back(town.call("gate"));
@@ -584,14 +585,14 @@
 }
 
 TEST(Gateway, RestartThatTheListTellsCostsNoCall) {
-  Town town(1);
-  town.say(1, WorkerState::kReady, town.net.unix_ms() - 1000);
+  GatewayFixture town(1);
+  town.set_worker_state(1, WorkerState::kReady, town.net.unix_ms() - 1000);
   town.start();
   ASSERT_TRUE(town.wait_answer(town.call("gate")));
   // The machine vanished and came back: the old connection stands at our end, and its first write meets a
   // reset.
   const std::size_t before = town.worker(1).sessions();
-  town.say(1, WorkerState::kReady, town.net.unix_ms());
+  town.set_worker_state(1, WorkerState::kReady, town.net.unix_ms());
   town.net.run_for(100ms);
   EXPECT_EQ(town.worker(1).sessions(), before - 1);
   const std::string name = town.call("gate");
@@ -600,7 +601,7 @@
 }
 
 TEST(Gateway, SilentWorkerHoldsACallOnlyUntilItsDeadline) {
-  Town town(2);
+  GatewayFixture town(2);
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("first"));
@@ -615,7 +616,7 @@
 }
 
 TEST(Gateway, RequestIdsWrapWithACallStillOpen) {
-  Town town(2);
+  GatewayFixture town(2);
   town.first_request = 0xffffffffU - 3;
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
@@ -630,14 +631,14 @@
 }
 
 TEST(Gateway, IdOfAnOpenCallIsNotGivenAgain) {
-  Town town(2);
+  GatewayFixture town(2);
   town.first_request = 0xffffffffU;
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});  // takes the last id
   ASSERT_TRUE(town.wait_answer("first"));
   town.worker(1).set_slow(60), town.worker(2).set_slow(60);
   const std::string slow = town.call("gate", {"", "", "", "", "", "", 20'000, true});  // id 1, and stays open
-  ASSERT_TRUE(town.net.run_until([&] { return town.ran(slow) == 1; }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.run_count(slow) == 1; }));
   town.gateway->core().rewind_ids(0);  // 0 names no call, 1 is open
   town.worker(1).set_slow(1), town.worker(2).set_slow(1);
   const std::string quick = town.call("gate");
@@ -655,7 +656,7 @@
   std::vector<std::unique_ptr<worker::Session>> sessions;
   std::vector<std::pair<worker::Session*, worker::Call>> calls;
   explicit Puppet(sim::Network& n) : net(n) {
-    listener = net.listen(Town::worker_at(1), {}, [this](std::unique_ptr<io::Connection> c) {
+    listener = net.listen(GatewayFixture::worker_at(1), {}, [this](std::unique_ptr<io::Connection> c) {
       worker::Hello h;
       h.id = 1;
       sessions.push_back(std::make_unique<worker::Session>(net, h, *this));
@@ -681,7 +682,7 @@
 };
 
 struct Streaming : testing::Test {
-  Town town{0, 1, settings("", R"(
+  GatewayFixture town{0, 1, settings("", R"(
 [[class]]
 name = "stream"
 effect = "repeatable"
@@ -693,7 +694,7 @@
 )")};
   Puppet worker{town.net};
   void SetUp() override {
-    town.say(1, WorkerState::kReady);
+    town.set_worker_state(1, WorkerState::kReady);
     town.start();
     town.call("feed", {"s", "", "", "", "", "", {}, true});
     ASSERT_TRUE(town.net.run_until([&] { return worker.calls.size() == 1; }));
@@ -743,13 +744,13 @@
 // ---- Starting and stopping ----------------------------------------------------------------------------
 
 TEST(Gateway, CachedListServesBeforeTheServiceIsHeard) {
-  Town first(2);
+  GatewayFixture first(2);
   first.start();
   ASSERT_TRUE(first.net.run_until([&] { return !first.log.kept_list.empty(); }));
   first.net.run_for(10ms);
   auto elsewhere = std::make_shared<config::Settings>(*settings());
   elsewhere->list.service = io::Address{"127.0.0.1", 7999};  // nobody listens there
-  Town town(2, 1, elsewhere);
+  GatewayFixture town(2, 1, elsewhere);
   town.gateway = std::make_unique<controller::Gateway>(town.net, town.config, town.log, 7);
   town.gateway->use_cached_list(first.log.kept_list);
   town.gateway->start();
@@ -763,7 +764,7 @@
 }
 
 TEST(Gateway, DrainAnswersAllThatWasTakenAndTakesNoMore) {
-  Town town(2);
+  GatewayFixture town(2);
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("first"));
@@ -792,7 +793,7 @@
 }
 
 TEST(Gateway, ReloadTakesNewFunctionsAndBrokersAndKeepsTheRest) {
-  Town town(2);
+  GatewayFixture town(2);
   town.start();
   auto more =
       std::make_shared<config::Settings>(*settings("", "[[function]]\nname = \"fresh\"\nclass = \"read\"\n"));
@@ -801,7 +802,7 @@
   EXPECT_EQ(town.outcome(before), "refused");
   more->module.bounds.attempts_cap = 1;
   town.gateway->reload(more);
-  EXPECT_TRUE(town.log.said("a change of bounds needs a restart"));
+  EXPECT_TRUE(town.log.contains("a change of bounds needs a restart"));
   EXPECT_EQ(town.gateway->core().settings().module.bounds.attempts_cap, 6);
   const std::string after = town.call("fresh");
   ASSERT_TRUE(town.wait_answer(after));
@@ -812,12 +813,12 @@
 }
 
 TEST(Gateway, ReloadLeavesABrokerOnceItHasItsAnswers) {
-  Town town(2);
+  GatewayFixture town(2);
   town.start();
   ASSERT_TRUE(town.wait_answer(town.call("gate")));
   town.worker(1).set_slow(40), town.worker(2).set_slow(40);
   const std::string name = town.call("gate");
-  ASSERT_TRUE(town.net.run_until([&] { return town.ran(name) == 1; }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
   auto without = std::make_shared<config::Settings>(*settings());
   without->brokers.clear();
   town.gateway->reload(without);
@@ -829,13 +830,13 @@
 TEST(Gateway, PeersHearOfEachOther) {
   auto with_peers = [](std::uint32_t me) {
     auto s = std::make_shared<config::Settings>(*settings());
-    s->module.me = me, s->module.replicas = 2, s->module.bounds.peers = true;
+    s->module.replica_index = me, s->module.replicas = 2, s->module.bounds.peers = true;
     s->gateway.name = "gw-" + std::to_string(me);
     s->gateway.peer_listen = io::Address{"127.0.0.1", static_cast<std::uint16_t>(7300 + me)};
     s->peers = {{0, {"127.0.0.1", 7300}, {}}, {1, {"127.0.0.1", 7301}, {}}};
     return s;
   };
-  Town town(2, 1, with_peers(0));
+  GatewayFixture town(2, 1, with_peers(0));
   town.start();
   Log log;
   controller::Gateway other(town.net, with_peers(1), log, 99);
@@ -863,7 +864,7 @@
 
 TEST_P(AnyInterleaving, TroubleOfAllKindsKeepsOneAnswerAndNoEffectTwice) {
   const auto seed = static_cast<std::uint64_t>(GetParam());
-  Town town(4, seed, settings(seed % 2 ? "" : "answers = \"confirm\"\n"), seed % 3 == 0 ? 700 : 0);
+  GatewayFixture town(4, seed, settings(seed % 2 ? "" : "answers = \"confirm\"\n"), seed % 3 == 0 ? 700 : 0);
   town.start();
   std::vector<std::string> names;
   const std::array<std::string, 3> functions = {"echo", "status", "gate"};
@@ -896,7 +897,7 @@
   }
   for (std::uint32_t id = 1; id <= 4; ++id) {
     town.worker(id).set_silent(false), town.worker(id).set_full(false), town.worker(id).set_load_fails(false);
-    if (!town.worker(id).up()) town.worker(id).start(Town::worker_at(id), false);
+    if (!town.worker(id).up()) town.worker(id).start(GatewayFixture::worker_at(id), false);
   }
   auto all = [&] {
     return std::all_of(names.begin(), names.end(), [&](auto& n) { return town.answers(n) >= 1; });
@@ -917,9 +918,9 @@
       }
     }
     if (name.starts_with("gate")) {
-      EXPECT_LE(town.ran(name), 1U) << name;
+      EXPECT_LE(town.run_count(name), 1U) << name;
       if (town.outcome(name) == "refused") {
-        EXPECT_EQ(town.ran(name), 0U) << name;
+        EXPECT_EQ(town.run_count(name), 0U) << name;
       }
     }
   }
--- a/tests/controller/invoke_test.cpp
+++ b/tests/controller/invoke_test.cpp
@@ -5,8 +5,8 @@
 #include <sstream>
 
 #include "controller/keyring.h"
+#include "gateway_fixture.h"
 #include "http/client.h"
-#include "town.h"
 
 namespace laureltide::test {
 namespace {
@@ -47,12 +47,12 @@
 using Result = http::Exchange::Result;
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
-struct HttpTown : Town {
+struct HttpTown : GatewayFixture {
   io::Address at{"127.0.0.1", 8080};
   int kills = 0;
   explicit HttpTown(std::uint64_t seed = 1, const std::string& more_invoke = "", const std::string& more = "",
                     bool ledger = true)
-      : Town(2, seed, settings("", invoke_settings(more_invoke, more))) {
+      : GatewayFixture(2, seed, settings("", invoke_settings(more_invoke, more))) {
     with_ledger = ledger;
     start();
   }
--- a/tests/controller/owed_test.cpp
+++ b/tests/controller/owed_test.cpp
@@ -1,7 +1,7 @@
 // What a call owed by an earlier life becomes under today's settings.
 #include "controller/owed.h"
 
-#include "town.h"
+#include "gateway_fixture.h"
 
 namespace laureltide::test {
 namespace {
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -659,7 +659,7 @@
 
 TEST(Bounds, OddValuesDoNoHarm) {
   Settings settings = plain_settings();
-  settings.rules.cold_from = 0;
+  settings.rules.cold_capacity_share = 0;
   Bench b(settings);
   WorkerEntry cold = Bench::worker(1);
   cold.started = b.now;
--- a/tests/town.h
+++ b/tests/gateway_fixture.h
@@ -46,7 +46,7 @@
   }
   void on_line(controller::LogLevel, const std::string& line) override { lines.push_back(line); }
   void keep_list(const std::string& json) override { kept_list = json; }
-  bool said(const std::string& part) const {
+  bool contains(const std::string& part) const {
     return std::any_of(lines.begin(), lines.end(),
                        [&](auto& l) { return l.find(part) != std::string::npos; });
   }
@@ -120,7 +120,7 @@
   return std::make_shared<config::Settings>(std::move(checked.settings).value());
 }
 
-struct Town {
+struct GatewayFixture {
   sim::Network net;
   MemoryTape tape;
   Log log;
@@ -139,8 +139,9 @@
   std::uint32_t first_request = 1;
   int named = 0;
 
-  explicit Town(int count = 2, std::uint64_t seed = 1,
-                std::shared_ptr<const config::Settings> with = settings(), std::size_t most_piece = 0)
+  explicit GatewayFixture(int count = 2, std::uint64_t seed = 1,
+                          std::shared_ptr<const config::Settings> with = settings(),
+                          std::size_t most_piece = 0)
       : net({seed, 50us, 400us, most_piece}),
         broker(net, {}, tape),
         list(net, tape),
@@ -167,10 +168,10 @@
   standin::Worker& add_worker(std::uint32_t id) {
     workers.push_back(std::make_unique<standin::Worker>(net, worker_options(id), tape));
     EXPECT_TRUE(workers.back()->listen(worker_at(id)));
-    say(id, WorkerState::kReady);
+    set_worker_state(id, WorkerState::kReady);
     return *workers.back();
   }
-  void say(std::uint32_t id, WorkerState state, std::optional<std::int64_t> started = {}) {
+  void set_worker_state(std::uint32_t id, WorkerState state, std::optional<std::int64_t> started = {}) {
     members::Member m;
     m.id = id, m.address = worker_at(id), m.zone = "a", m.kind = "std", m.cell = "r" + std::to_string(id % 2);
     m.state = state;
@@ -222,7 +223,7 @@
     const auto it = caller->answers().find(name);
     return it == caller->answers().end() ? "none" : it->second.reason;
   }
-  std::size_t ran(const std::string& name) const { return tape.count("ran", name); }
+  std::size_t run_count(const std::string& name) const { return tape.count("ran", name); }
 };
 
 }  // namespace laureltide::test
--- a/tests/ledger/restart_test.cpp
+++ b/tests/ledger/restart_test.cpp
@@ -1,6 +1,6 @@
 // A gateway with a ledger is killed, at every step and in every mode, and comes back: one final answer for
 // each message, no effect twice, by the callers' and the workers' own counts.
-#include "town.h"
+#include "gateway_fixture.h"
 
 namespace laureltide::test {
 namespace {
@@ -18,10 +18,10 @@
   return settings(text_of(mode) + more_broker, "[ledger]\ndirectory = \"unused here\"\n" + more_ledger);
 }
 
-struct LedgerTown : Town {
+struct LedgerTown : GatewayFixture {
   explicit LedgerTown(Mode mode = Mode::kTransaction, std::uint64_t seed = 1, const std::string& more = "",
                       const std::string& more_ledger = "")
-      : Town(2, seed, ::laureltide::test::with_ledger(mode, more, more_ledger)) {
+      : GatewayFixture(2, seed, ::laureltide::test::with_ledger(mode, more, more_ledger)) {
     with_ledger = true;
   }
   bool settled(Duration most = 30s) {
@@ -58,12 +58,12 @@
     if (mode == Mode::kTransaction) {
       EXPECT_EQ(answers(name), 1U) << where;
     }
-    EXPECT_LE(ran(name), 1U) << where;
+    EXPECT_LE(run_count(name), 1U) << where;
     if (outcome(name) == "served") {
-      EXPECT_EQ(ran(name), 1U) << where;
+      EXPECT_EQ(run_count(name), 1U) << where;
     }
     if (outcome(name) == "refused") {
-      EXPECT_EQ(ran(name), 0U) << where;
+      EXPECT_EQ(run_count(name), 0U) << where;
     }
   }
   void whole_coverage() {
@@ -98,7 +98,7 @@
       for (const std::string& name : names)
         if (!name.starts_with("echo")) town.expect_one_answer(name, mode, where + name);
       EXPECT_GE(town.answers(names.back()), 1U);
-      EXPECT_EQ(town.net.unsent(Town::worker_at(1)), 0U);
+      EXPECT_EQ(town.net.unsent(GatewayFixture::worker_at(1)), 0U);
     }
   // A step that is never passed proves nothing.
   const bool taken = std::string(step).starts_with("take") || std::string(step) == "owed-found";
@@ -133,15 +133,15 @@
   town.start();
   town.broker.refuse_commits(1);  // the connection breaks in its place
   const std::string name = town.call("gate");
-  ASSERT_TRUE(town.net.run_until([&] { return town.ran(name) == 1; }));
-  ASSERT_TRUE(town.net.run_until([&] { return town.log.said("connection ended"); }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.log.contains("connection ended"); }));
   town.kill_gateway();  // the answer is on disk or not; give it time
   town.net.run_for(100ms);
   town.start_gateway();
   ASSERT_TRUE(town.wait_answer(name));
   EXPECT_TRUE(town.settled());
   EXPECT_EQ(town.answers(name), 1U);
-  EXPECT_EQ(town.ran(name), 1U);
+  EXPECT_EQ(town.run_count(name), 1U);
 }
 
 // The one that says what is gained by a ledger and a sole reader.
@@ -161,7 +161,7 @@
     std::map<std::string, int> outcomes;
     for (const auto& name : names) {
       ++outcomes[town.outcome(name)];
-      EXPECT_LE(town.ran(name), 1U);
+      EXPECT_LE(town.run_count(name), 1U);
       EXPECT_EQ(town.answers(name), 1U);
       if (!sole && town.outcome(name) == "failed") {
         EXPECT_NE(town.reason(name).find("nothing here proves that it did not run"), std::string::npos)
@@ -180,13 +180,13 @@
 TEST(Restart, CoverageBeginsOnlyOnceTheOldMessagesAreGone) {
   LedgerTown town(Mode::kTransaction, 2, "sole_reader = true\n");
   {  // another gateway, without a ledger, is killed with a call out
-    Town* other = &town;
+    GatewayFixture* other = &town;
     other->with_ledger = false;
     auto plain = other->config;
     other->config = settings();
     other->start();
     const std::string old = other->call("gate", {"old", "", "", "", "", "", {}, true});
-    ASSERT_TRUE(other->net.run_until([&] { return other->ran(old) == 1; }));
+    ASSERT_TRUE(other->net.run_until([&] { return other->run_count(old) == 1; }));
     other->kill_gateway();
     other->config = plain;
     other->with_ledger = true;
@@ -195,7 +195,7 @@
   town.start_gateway();
   ASSERT_TRUE(town.wait_answer("old"));
   EXPECT_EQ(town.outcome("old"), "failed");
-  EXPECT_EQ(town.ran("old"), 1U);
+  EXPECT_EQ(town.run_count("old"), 1U);
   town.whole_coverage();  // and now it is
 }
 
@@ -210,7 +210,7 @@
   }();
   controller::Gateway other(town.net, other_settings, other_log, 9);
   other.start();
-  ASSERT_TRUE(town.net.run_until([&] { return other_log.said("403"); }));
+  ASSERT_TRUE(town.net.run_until([&] { return other_log.contains("403"); }));
   EXPECT_EQ(town.broker.consumers("calls"), 1U);
 }
 
@@ -228,14 +228,14 @@
     return copy;
   }();
   const std::string name = town.call("gate");
-  ASSERT_TRUE(town.net.run_until([&] { return town.ran(name) == 1; }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
   controller::Gateway other(town.net, other_settings, log, 9, 1, &book);
   other.start();
   ASSERT_TRUE(town.net.run_until([&] { return town.broker.consumers("calls") == 2; }));
   town.kill_gateway();
   ASSERT_TRUE(town.wait_answer(name));
   EXPECT_EQ(town.outcome(name), "failed");
-  EXPECT_EQ(town.ran(name), 1U);
+  EXPECT_EQ(town.run_count(name), 1U);
   EXPECT_EQ(town.answers(name), 1U);
 }
 
@@ -269,7 +269,7 @@
   town.start_gateway();
   ASSERT_TRUE(town.wait_answer(name));
   EXPECT_EQ(town.outcome(name), "served") << town.reason(name);
-  EXPECT_EQ(town.ran(name), 1U);
+  EXPECT_EQ(town.run_count(name), 1U);
 }
 
 TEST(Restart, AcknowledgedCallsWhosePatienceRanOutAreAnswered) {
@@ -310,7 +310,7 @@
       ASSERT_TRUE(town.broker.restart());
       // What the client had not confirmed it would send again; here it had all the time to be.
       ASSERT_TRUE(town.run_to_the_end({})) << step;
-      EXPECT_LE(town.ran(name), 1U) << step;
+      EXPECT_LE(town.run_count(name), 1U) << step;
       if (town.answers(name) > 0) town.expect_one_answer(name, mode, std::to_string(step));
     }
 }
@@ -327,17 +327,18 @@
       names.push_back(town.call("gate"));
       town.net.run_for(50ms);
     }
-    EXPECT_TRUE(town.log.said("nothing is taken: the ledger cannot be written: no space left on the disk"));
+    EXPECT_TRUE(
+        town.log.contains("nothing is taken: the ledger cannot be written: no space left on the disk"));
     EXPECT_EQ(town.broker.consumers("calls"), 0U);
     EXPECT_GT(town.broker.depth("calls"), 10U);
     EXPECT_EQ(town.tape.count("ran"), 1U);  // nothing left for a worker unrecorded
     town.net.run_for(5s);
     town.disk.full = false;
     ASSERT_TRUE(town.run_to_the_end(names));
-    EXPECT_TRUE(town.log.said("calls are taken again"));
+    EXPECT_TRUE(town.log.contains("calls are taken again"));
     for (const auto& name : names) {
       EXPECT_EQ(town.answers(name), 1U);
-      EXPECT_LE(town.ran(name), 1U);
+      EXPECT_LE(town.run_count(name), 1U);
     }
   }
 }
@@ -349,7 +350,7 @@
   town.disk.least_delay = 900ms, town.disk.most_delay = 950ms;
   const std::string name = town.call("gate");
   ASSERT_TRUE(town.net.run_until([&] { return town.book->records() > 0 && town.steps.size() >= 2; }));
-  town.say(1, WorkerState::kDraining), town.say(2, WorkerState::kDraining);
+  town.set_worker_state(1, WorkerState::kDraining), town.set_worker_state(2, WorkerState::kDraining);
   ASSERT_TRUE(town.wait_answer(name));
   EXPECT_EQ(town.outcome(name), "refused") << town.reason(name);  // proof that it never ran
   EXPECT_EQ(town.tape.count("call", name), 0U);
@@ -365,7 +366,7 @@
   const std::string name = town.call("gate");
   ASSERT_TRUE(
       town.net.run_until([&] { return town.steps.size() > 3 && town.steps.back() == "attempt-queued"; }));
-  town.say(1, WorkerState::kDraining), town.say(2, WorkerState::kDraining);
+  town.set_worker_state(1, WorkerState::kDraining), town.set_worker_state(2, WorkerState::kDraining);
   ASSERT_TRUE(town.wait_answer(name));
   EXPECT_EQ(town.tape.count("call", name), 0U);
   EXPECT_EQ(town.outcome(name), "refused");
@@ -379,7 +380,7 @@
   text.replace(text.find(window), window.size(), "repeat_window_ms = 500");
   const std::string group = "repeats_dropped_by = \"cell\"";
   text.replace(text.find(group), group.size(), "repeats_dropped_by = \"all\"");
-  Town town(2, 1, std::make_shared<const config::Settings>(*config::parse(text, "t").settings));
+  GatewayFixture town(2, 1, std::make_shared<const config::Settings>(*config::parse(text, "t").settings));
   town.with_ledger = true;
   town.start();
   // Connections to both workers stand.
@@ -402,7 +403,7 @@
   LedgerTown town(Mode::kTake);
   town.start();
   const std::string name = town.call("gate");
-  ASSERT_TRUE(town.net.run_until([&] { return town.ran(name) == 1; }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
   town.net.set_silent(town.broker_at, true);
   town.net.run_for(3s);
   town.kill_gateway();
@@ -412,13 +413,13 @@
   town.net.set_silent(town.broker_at, false);
   ASSERT_TRUE(town.wait_answer(name, 60s));
   EXPECT_EQ(town.outcome(name), "served");
-  EXPECT_EQ(town.ran(name), 1U);
+  EXPECT_EQ(town.run_count(name), 1U);
 }
 
 TEST(Restart, MoreOwedThanTheGatewayMayHold) {
   auto text = settings_text(text_of(Mode::kTake), "[ledger]\ndirectory = \"x\"\n");
   text.replace(text.find("open_calls = 5000"), 17, "open_calls = 200");
-  Town town(2, 4, std::make_shared<const config::Settings>(*config::parse(text, "t").settings));
+  GatewayFixture town(2, 4, std::make_shared<const config::Settings>(*config::parse(text, "t").settings));
   town.with_ledger = true;
   town.start();
   town.worker(1).set_full(true), town.worker(2).set_full(true);
@@ -461,7 +462,7 @@
   town.start_gateway();
   ASSERT_TRUE(town.settled());
   town.net.run_for(5s);
-  EXPECT_EQ(town.ran(name), 0U);
+  EXPECT_EQ(town.run_count(name), 0U);
   EXPECT_EQ(town.answers(name), 0U);
 }
 
@@ -475,7 +476,7 @@
     if (std::string(at) == "take-durable") town.net.set_silent(town.broker_at, true);
   };
   const std::string name = town.call("gate");
-  ASSERT_TRUE(town.net.run_until([&] { return town.ran(name) == 1; }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
   town.net.run_for(100ms);  // answered here
   town.on_step = {};
   town.net.break_connections(town.broker_at);
@@ -491,7 +492,7 @@
   town.start_gateway();
   town.net.run_for(10s);
   EXPECT_TRUE(town.settled());
-  EXPECT_EQ(town.ran(name), 1U);
+  EXPECT_EQ(town.run_count(name), 1U);
 }
 
 TEST(Restart, AnOwedAnswerThatTheBrokerNeverHeardIsGivenAgain) {
@@ -509,13 +510,13 @@
   town.net.set_silent(town.broker_at, false);
   ASSERT_TRUE(town.wait_answer(name));
   EXPECT_EQ(town.outcome(name), "served");
-  EXPECT_EQ(town.ran(name), 1U);
+  EXPECT_EQ(town.run_count(name), 1U);
 }
 
 TEST(Restart, NewCallsWaitForRoomOnceTheyAreAcknowledgedOnTake) {
   auto text = settings_text(text_of(Mode::kTake), "[ledger]\ndirectory = \"x\"\n");
   text.replace(text.find("open_calls = 5000"), 17, "open_calls = 200");
-  Town town(2, 4, std::make_shared<const config::Settings>(*config::parse(text, "t").settings));
+  GatewayFixture town(2, 4, std::make_shared<const config::Settings>(*config::parse(text, "t").settings));
   town.with_ledger = true;
   town.start();
   std::vector<std::string> names;
@@ -536,7 +537,7 @@
 }
 
 TEST(Restart, ABrokersTenantIsNotTheMessagesToSay) {
-  Town town(2, 1, settings("tenant = \"volta\"\n"));
+  GatewayFixture town(2, 1, settings("tenant = \"volta\"\n"));
   town.start();
   standin::CallToMake c;
   c.tenant = "other";
--- a/tests/node/crossings_test.cpp
+++ b/tests/node/crossings_test.cpp
@@ -498,8 +498,8 @@
   void on_hold_end(WorkerId, std::uint64_t, Outcome, int) override {}
   void on_probe_end(WorkerId, std::uint64_t, Outcome, LoadReport) override {}
   void on_oddity(WorkerId, const std::string&) override {}
-  bool may_begin(WorkerId) override { return may; }
-  bool may_leave(WorkerId, std::uint64_t cookie) override { return cookie != over; }
+  bool may_start_work(WorkerId) override { return may; }
+  bool may_be_sent(WorkerId, std::uint64_t cookie) override { return cookie != over; }
   bool may = true;
   std::uint64_t over = 0;  // the call that may not leave any more
   bool run_until(const std::function<bool()>& done) { return ::laureltide::tests::run_until(loop, done); }
@@ -608,7 +608,7 @@
   ASSERT_TRUE(run_until([&] { return watch = raw.take(), watch.stands(); }));
   watch.write("HTTP/1.1 200 OK\r\n\r\n:\n\n");
   run_for(100ms);
-  const auto current = [&] { return node->core().module().list_holds(loop.now()); };
+  const auto current = [&] { return node->core().module().list_is_valid(loop.now()); };
   EXPECT_TRUE(current());
   watch.write(":\n\n");
   const auto held = loop.timer([began = loop.now(), this] {
--- a/tests/node/outage_test.cpp
+++ b/tests/node/outage_test.cpp
@@ -272,7 +272,7 @@
 TEST_F(Outage, AReplayThatIsNotWholeIsNotCurrent) {
   start();
   traffic(2s);
-  const auto current = [&] { return node->core().module().list_holds(net.now()); };
+  const auto current = [&] { return node->core().module().list_is_valid(net.now()); };
   EXPECT_TRUE(current());
   bus.tell_as_it_is("noise");
   ASSERT_TRUE(net.run_until([&] { return node->roster().rebuilding(); }));
--- a/tests/platform/link_test.cpp
+++ b/tests/platform/link_test.cpp
@@ -83,7 +83,7 @@
   LinkOptions options = [] {
     LinkOptions o;
     o.load = {{"active", LoadValue::kInHand}, {"cpu", LoadValue::kBusyCores}};
-    o.tells_company = true;
+    o.reports_others_in_flight = true;
     return o;
   }();
   std::map<std::uint64_t, std::vector<CallEnd>> ends;
@@ -104,8 +104,8 @@
   }
   void on_probe_end(WorkerId, std::uint64_t c, Outcome o, LoadReport) override { probes[c].push_back(o); }
   void on_oddity(WorkerId, const std::string&) override { ++oddities; }
-  bool may_begin(WorkerId) override { return may; }
-  bool may_leave(WorkerId, std::uint64_t cookie) override { return !over.contains(cookie); }
+  bool may_start_work(WorkerId) override { return may; }
+  bool may_be_sent(WorkerId, std::uint64_t cookie) override { return !over.contains(cookie); }
   bool may = true;
   std::set<std::uint64_t> over;  // calls that may not leave any more
 
@@ -134,8 +134,8 @@
   call(4), call(5);
   may = false;
   net.run_for(200ms);
-  EXPECT_EQ(outcome(4), Outcome::kMoot);
-  EXPECT_EQ(outcome(5), Outcome::kMoot);
+  EXPECT_EQ(outcome(4), Outcome::kNotRun);
+  EXPECT_EQ(outcome(5), Outcome::kNotRun);
   ASSERT_EQ(holds[1].size(), 1U);
   EXPECT_EQ(holds[1][0].first, Outcome::kFull);
   ASSERT_EQ(holds[2].size(), 1U);  // a question is nothing new
@@ -150,7 +150,7 @@
   call(1), call(2);
   over = {1};
   net.run_for(200ms);
-  EXPECT_EQ(outcome(1), Outcome::kMoot);
+  EXPECT_EQ(outcome(1), Outcome::kNotRun);
   EXPECT_EQ(outcome(2), Outcome::kMiss);
   ASSERT_EQ(invoker.calls().size(), 1U);
   EXPECT_EQ(invoker.calls()[0].body, "body 2");
@@ -163,8 +163,8 @@
   EXPECT_EQ(outcome(1), Outcome::kOk);
   const CallEnd& end = ends[1][0];
   EXPECT_EQ(end.body, "answer to body 1");
-  EXPECT_EQ(end.company, 2);
-  EXPECT_EQ(end.report.in_hand, 7.0F);
+  EXPECT_EQ(end.others_in_flight, 2);
+  EXPECT_EQ(end.report.in_progress, 7.0F);
   EXPECT_EQ(end.report.busy_cores, 0.61F);
   EXPECT_FALSE(end.report.loads);
   ASSERT_EQ(invoker.calls().size(), 1U);
@@ -174,7 +174,7 @@
 
 TEST_F(LinkTest, EachCodeIsItsOutcome) {
   const std::pair<int, Outcome> codes[] = {
-      {99, Outcome::kMiss}, {100, Outcome::kFull}, {101, Outcome::kError}, {102, Outcome::kMoot}};
+      {99, Outcome::kMiss}, {100, Outcome::kFull}, {101, Outcome::kError}, {102, Outcome::kNotRun}};
   std::uint64_t cookie = 1;
   for (const auto& [code, expected] : codes) {
     invoker.answer_all(static_cast<std::uint8_t>(code));
@@ -306,7 +306,7 @@
   EXPECT_TRUE(link.forget_call(2));  // nothing of it had left
   link.withdraw_waiting();
   net.run_for(200ms);
-  EXPECT_EQ(outcome(1), Outcome::kMoot);
+  EXPECT_EQ(outcome(1), Outcome::kNotRun);
   EXPECT_TRUE(ends[2].empty());
   ASSERT_EQ(holds[7].size(), 1U);
   EXPECT_EQ(holds[7][0].first, Outcome::kFull);
@@ -387,7 +387,7 @@
   call(1);
   link.cancel(1);
   net.run_for(100ms);
-  EXPECT_EQ(outcome(1), Outcome::kMoot);
+  EXPECT_EQ(outcome(1), Outcome::kNotRun);
   EXPECT_TRUE(invoker.calls().empty());
 }
 
--- a/tests/policy/worker_lease_test.cpp
+++ b/tests/policy/worker_lease_test.cpp
@@ -18,7 +18,7 @@
 
 TEST(WorkerLeases, AListThatIsAlwaysCurrentIsLeaseEnough) {
   const WorkerLeases leases(kGrace);
-  EXPECT_TRUE(leases.list_holds(kStart + 24h));
+  EXPECT_TRUE(leases.list_is_valid(kStart + 24h));
   EXPECT_TRUE(leases.holds(kOne, kStart + 24h));
 }
 
@@ -180,7 +180,7 @@
     b.advance(200ms);
     b.serve(b.sends_of(id)[0]);
   }
-  EXPECT_FALSE(b.dispatcher.list_holds(b.now));
+  EXPECT_FALSE(b.dispatcher.list_is_valid(b.now));
   EXPECT_TRUE(b.all(Did::kProbe).empty());
 }
 
@@ -369,23 +369,23 @@
   const std::vector<Action> orders = b.all(Did::kHold);
   ASSERT_FALSE(orders.empty());
   ASSERT_EQ(orders.back().count, 0);
-  ASSERT_TRUE(b.dispatcher.may_begin(b.now, kOne));
+  ASSERT_TRUE(b.dispatcher.may_start_work(b.now, kOne));
   b.held(orders.back(), Outcome::kFull, 0);
-  EXPECT_FALSE(b.dispatcher.may_begin(b.now, kOne));
+  EXPECT_FALSE(b.dispatcher.may_start_work(b.now, kOne));
 }
 
 TEST(Leases, WhatLeavesLaterIsAskedAboutAgain) {
   Away b(2);
-  EXPECT_TRUE(b.dispatcher.may_begin(b.now, kOne));
-  EXPECT_FALSE(b.dispatcher.may_begin(b.now, WorkerId{9}));
+  EXPECT_TRUE(b.dispatcher.may_start_work(b.now, kOne));
+  EXPECT_FALSE(b.dispatcher.may_start_work(b.now, WorkerId{9}));
   b.lose_discovery();
-  EXPECT_FALSE(b.dispatcher.may_begin(b.now, kOne));
+  EXPECT_FALSE(b.dispatcher.may_start_work(b.now, kOne));
   b.dispatcher.on(b.now, ListFreshness{b.now + 2s});
-  EXPECT_TRUE(b.dispatcher.may_begin(b.now, kOne));
+  EXPECT_TRUE(b.dispatcher.may_start_work(b.now, kOne));
   WorkerEntry draining = Bench::worker(1);
   draining.state = WorkerState::kDraining;
   b.list({draining}, ListScope::kChanges);
-  EXPECT_FALSE(b.dispatcher.may_begin(b.now, kOne));
+  EXPECT_FALSE(b.dispatcher.may_start_work(b.now, kOne));
 }
 
 }  // namespace
--- a/tests/worker/worker_test.cpp
+++ b/tests/worker/worker_test.cpp
@@ -87,8 +87,8 @@
   void on_hold_end(WorkerId, std::uint64_t c, Outcome o, int) override { holds.push_back({c, o}); }
   void on_probe_end(WorkerId, std::uint64_t c, Outcome o, LoadReport) override { probes.push_back({c, o}); }
   void on_oddity(WorkerId, const std::string& what) override { oddities.push_back(what); }
-  bool may_begin(WorkerId) override { return begins; }
-  bool may_leave(WorkerId, std::uint64_t cookie) override { return cookie != over; }
+  bool may_start_work(WorkerId) override { return begins; }
+  bool may_be_sent(WorkerId, std::uint64_t cookie) override { return cookie != over; }
   bool begins = true;
   std::uint64_t over = 0;  // the call that may not leave any more
   std::optional<Outcome> call(std::uint64_t cookie) const {
@@ -276,7 +276,7 @@
   call(1), call(2);
   events.over = 1;
   net.run_for(10ms);
-  EXPECT_EQ(events.call(1), Outcome::kMoot);
+  EXPECT_EQ(events.call(1), Outcome::kNotRun);
   EXPECT_EQ(worker.calls(), 1U);
   EXPECT_FALSE(events.call(2));  // out
 }
@@ -285,7 +285,7 @@
   events.begins = false;
   call(1), link.hold("echo", 1, 2), link.hold("echo", 0, 3), link.probe(4);
   net.run_for(10ms);
-  EXPECT_EQ(events.call(1), Outcome::kMoot);
+  EXPECT_EQ(events.call(1), Outcome::kNotRun);
   ASSERT_EQ(events.holds.size(), 1U);
   EXPECT_EQ(events.holds[0].cookie, 2U);
   EXPECT_EQ(events.holds[0].outcome, Outcome::kFull);
