--- a/fuzz/config.cpp
+++ b/fuzz/config.cpp
@@ -9,7 +9,7 @@
   if (checked.settings.has_value() == !checked.problems.empty()) __builtin_trap();
   std::string why;
   if (const auto update = members::parse_update(bytes, why)) {
-    members::List list({"a"});
+    members::WorkerList list({"a"});
     list.take(*update, {});
     if (!members::parse_update(members::write_update(*update), why)) __builtin_trap();
   }
--- a/fuzz/feed.cpp
+++ b/fuzz/feed.cpp
@@ -1,7 +1,7 @@
 // Bytes of an event bus: the same events in one piece and in many; and an event's JSON.
 #include "platform/feed.h"
 
-#include "platform/roster.h"
+#include "platform/invoker_list.h"
 
 using namespace laureltide;
 
@@ -16,7 +16,7 @@
   bool well_b = true;
   for (std::size_t at = 0; at < size && well_b; at += 3) well_b = pieces.feed(bytes.substr(at, 3), note(b));
   if (well_a != well_b || a != b) __builtin_trap();
-  platform::Roster roster;
+  platform::InvokerList roster;
   roster.take(1, bytes);
   return 0;
 }
--- a/fuzz/frames.cpp
+++ b/fuzz/frames.cpp
@@ -6,7 +6,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  const auto r = platform::parse(bytes, platform::kFromInvoker);
+  const auto r = platform::parse(bytes, platform::kInvokerMagic);
   if (r.kind == platform::ParseResult::Kind::kFrame && r.size > size) __builtin_trap();
   platform::field(bytes, "load");
   sim::NetworkOptions options;
@@ -33,7 +33,7 @@
     void on_probe_end(WorkerId, std::uint64_t, Outcome, LoadReport) override {}
     void on_oddity(WorkerId, const std::string&) override {}
   } ends;
-  platform::Budget budget;
+  platform::ConnectionBudget budget;
   platform::LinkOptions link_options;
   platform::Link link(net, WorkerId{1}, {"127.0.0.1", 80}, link_options, budget, ends);
   worker::Call call;
--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -513,9 +513,9 @@
   std::map<WorkerId, std::optional<std::int64_t>> started;
   for (const auto& [id, link] : links_)
     if (const members::Member* m = list_.find(id)) started[id] = m->started_unix_ms;
-  members::List::Taken taken = list_.take(update, wall_offset_, cached);
+  members::WorkerList::ApplyResult taken = list_.take(update, wall_offset_, cached);
   if (taken.verdict == members::Verdict::kGap && on_gap) on_gap();
-  if (taken.verdict != members::Verdict::kTaken) return;
+  if (taken.verdict != members::Verdict::kApplied) return;
   feed([this, taken = std::move(taken)](Time now) {
     module_->on(now, ListUpdate{taken.scope, taken.version, taken.entries});
   });
@@ -572,7 +572,7 @@
 
 void Core::tidy() {
   prune_links();
-  list_.forget_gone([this](WorkerId id) { return links_.contains(id); });
+  list_.remove_gone([this](WorkerId id) { return links_.contains(id); });
   const Time old = host_.now() - kNameUnused;
   std::erase_if(names_, [&](const auto& n) { return n.second.used < old; });
 }
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -124,7 +124,7 @@
             orders_.size(), alarms_.size(), list_.members().size()};
   }
   const Counters& counters() const { return counters_; }
-  const members::List& list() const { return list_; }
+  const members::WorkerList& list() const { return list_; }
   const Dispatcher& module() const { return *module_; }
   const config::Settings& settings() const { return *settings_; }
   std::function<void()> on_gap;  // the list needs to be asked for in full
@@ -226,7 +226,7 @@
   std::shared_ptr<const config::Settings> settings_;
   CoreEvents& events_;
   ledger::Book* book_;
-  members::List list_;
+  members::WorkerList list_;
   std::int64_t started_unix_ms_;
   Duration wall_offset_{};
   struct Name {
--- a/src/controller/gateway.cpp
+++ b/src/controller/gateway.cpp
@@ -38,7 +38,7 @@
                       well ? "ledger: written again" : "ledger: cannot be written: " + book_->trouble());
     };
   if (settings_->list.service) {
-    follower_ = std::make_unique<members::Follower>(
+    follower_ = std::make_unique<members::ListSubscriber>(
         host_, *settings_->list.service, settings_->gateway.name,
         [this](std::string_view line) { take_list_text(line); },
         [this](const std::string& why) {
@@ -46,7 +46,7 @@
             events_.on_line(LogLevel::kWarn, "list: " + why + "; the last one stands");
         });
     core_.on_gap = [this] {
-      if (follower_) follower_->ask_full();
+      if (follower_) follower_->request_full_list();
     };
   }
   if (!settings_->peers.empty() || settings_->gateway.peer_listen) {
--- a/src/controller/gateway.h
+++ b/src/controller/gateway.h
@@ -4,7 +4,7 @@
 #include "controller/core.h"
 #include "controller/invoke.h"
 #include "controller/trigger.h"
-#include "members/follower.h"
+#include "members/list_subscriber.h"
 
 namespace laureltide::controller {
 
@@ -61,7 +61,7 @@
   std::vector<std::unique_ptr<TriggerFront>> fronts_;
   std::vector<std::unique_ptr<TriggerFront>> leaving_;  // of brokers that a reload dropped
   std::unique_ptr<InvokeFront> invoke_;
-  std::unique_ptr<members::Follower> follower_;
+  std::unique_ptr<members::ListSubscriber> follower_;
   std::unique_ptr<Peers> peers_;
   std::unique_ptr<io::Timer> stats_, drain_look_, leaving_look_;
   std::function<void(bool)> drained_;
--- a/src/members/list.cpp
+++ b/src/members/list.cpp
@@ -82,15 +82,15 @@
   return doc.dump();
 }
 
-std::uint16_t List::place(std::vector<std::string>& names, const std::string& name) {
+std::uint16_t WorkerList::place(std::vector<std::string>& names, const std::string& name) {
   const auto it = std::find(names.begin(), names.end(), name);
   if (it == names.end()) names.push_back(name);
   return static_cast<std::uint16_t>(
       std::min<std::ptrdiff_t>(std::find(names.begin(), names.end(), name) - names.begin(), 0xffff));
 }
 
-List::Taken List::take(const Update& update, Duration wall_offset, bool cached) {
-  Taken taken;
+WorkerList::ApplyResult WorkerList::take(const Update& update, Duration wall_offset, bool cached) {
+  ApplyResult taken;
   const bool later_epoch = version_ && update.epoch > epoch_;
   if (version_ && update.epoch < epoch_) return taken;
   if (version_ && !later_epoch) {
@@ -103,7 +103,7 @@
     taken.verdict = Verdict::kGap;
     return taken;
   }
-  taken.verdict = Verdict::kTaken;
+  taken.verdict = Verdict::kApplied;
   taken.scope = cached ? ListScope::kCached : update.full ? ListScope::kFull : ListScope::kChanges;
   taken.version = ++told_;
   epoch_ = update.epoch;
@@ -129,18 +129,18 @@
   return taken;
 }
 
-const Member* List::find(WorkerId id) const {
+const Member* WorkerList::find(WorkerId id) const {
   const auto it = members_.find(static_cast<std::uint32_t>(id));
   return it == members_.end() ? nullptr : &it->second;
 }
 
-void List::forget_gone(const std::function<bool(WorkerId)>& still_needed) {
+void WorkerList::remove_gone(const std::function<bool(WorkerId)>& still_needed) {
   std::erase_if(members_, [&](const auto& m) {
     return m.second.state == WorkerState::kGone && !still_needed(WorkerId{m.first});
   });
 }
 
-Update List::snapshot() const {
+Update WorkerList::snapshot() const {
   Update update;
   update.epoch = epoch_;
   update.version = version_.value_or(0);
--- a/src/members/list.h
+++ b/src/members/list.h
@@ -44,18 +44,18 @@
 std::string write_update(const Update& update);
 
 enum class Verdict {
-  kTaken,
+  kApplied,
   kStale,  // older than what is held: passed over
   kGap,    // a change that builds on a version not held: a full list is needed
 };
 
-class List {
+class WorkerList {
  public:
   // `kinds` in the order of the settings; an unknown kind counts as the first.
-  explicit List(std::vector<std::string> kinds) : kinds_(std::move(kinds)) {}
+  explicit WorkerList(std::vector<std::string> kinds) : kinds_(std::move(kinds)) {}
 
   // When taken, `entries` and `version` are what the module is to be told.
-  struct Taken {
+  struct ApplyResult {
     Verdict verdict = Verdict::kStale;
     ListScope scope = ListScope::kFull;
     std::uint64_t version = 0;
@@ -63,13 +63,13 @@
   };
   // `wall_offset` turns the list's unix times into the clock's: fixed for a process, so that a wall clock
   // that jumps does not make every worker look restarted.
-  Taken take(const Update& update, Duration wall_offset, bool cached = false);
+  ApplyResult take(const Update& update, Duration wall_offset, bool cached = false);
 
   std::optional<std::uint64_t> version() const { return version_; }  // of the list held
   const Member* find(WorkerId id) const;
   const std::map<std::uint32_t, Member>& members() const { return members_; }
   // A list that only ever tells changes must not grow with those that left.
-  void forget_gone(const std::function<bool(WorkerId)>& still_needed);
+  void remove_gone(const std::function<bool(WorkerId)>& still_needed);
   Update snapshot() const;  // for the cache on disk
 
  private:
--- a/src/members/follower.cpp
+++ b/src/members/list_subscriber.cpp
@@ -1,4 +1,4 @@
-#include "members/follower.h"
+#include "members/list_subscriber.h"
 
 #include <algorithm>
 
@@ -7,8 +7,9 @@
 constexpr Duration kFirstBackOff = std::chrono::milliseconds(100);
 constexpr Duration kLongestBackOff = std::chrono::seconds(5);
 
-Follower::Follower(io::Host& host, io::Address service, std::string name,
-                   std::function<void(std::string_view)> heard, std::function<void(const std::string&)> lost)
+ListSubscriber::ListSubscriber(io::Host& host, io::Address service, std::string name,
+                               std::function<void(std::string_view)> heard,
+                               std::function<void(const std::string&)> lost)
     : host_(host),
       service_(std::move(service)),
       name_(std::move(name)),
@@ -19,22 +20,22 @@
   again_->start(Duration(0));
 }
 
-void Follower::dial() {
+void ListSubscriber::dial() {
   io::StreamOptions options;
   options.read_ahead = kLongestLine + 1;
   connection_ = host_.connect(service_, options, *this);
 }
 
-void Follower::on_open() {
+void ListSubscriber::on_open() {
   open_ = true;
   connection_->write("{\"follow\":\"" + name_ + "\"}\n");
 }
 
-void Follower::ask_full() {
+void ListSubscriber::request_full_list() {
   if (open_) connection_->write("{\"want\":\"full\"}\n");
 }
 
-std::size_t Follower::on_bytes(std::string_view bytes) {
+std::size_t ListSubscriber::on_bytes(std::string_view bytes) {
   std::size_t used = 0;
   for (std::size_t end; (end = bytes.find('\n', used)) != std::string_view::npos; used = end + 1) {
     back_off_ = kFirstBackOff;
@@ -47,11 +48,11 @@
   return used;
 }
 
-void Follower::on_closed(io::Closed why) {
+void ListSubscriber::on_closed(io::Closed why) {
   drop(why == io::Closed::kNeverOpened ? "no connection to the list service" : "the list service hung up");
 }
 
-void Follower::drop(const std::string& why) {
+void ListSubscriber::drop(const std::string& why) {
   open_ = false;
   connection_.reset();
   lost_(why);
--- a/src/members/follower.h
+++ b/src/members/list_subscriber.h
@@ -9,13 +9,13 @@
 
 namespace laureltide::members {
 
-class Follower : public io::ConnectionEvents {
+class ListSubscriber : public io::ConnectionEvents {
  public:
   // `heard` is given each line; `lost` is told when the service cannot be heard, with the reason.
-  Follower(io::Host& host, io::Address service, std::string name, std::function<void(std::string_view)> heard,
-           std::function<void(const std::string&)> lost);
+  ListSubscriber(io::Host& host, io::Address service, std::string name,
+                 std::function<void(std::string_view)> heard, std::function<void(const std::string&)> lost);
 
-  void ask_full();
+  void request_full_list();
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
   void on_closed(io::Closed why) override;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -44,7 +44,7 @@
 }
 
 controller::Core::Options core_options(const Config& config, const platform::LinkOptions& links,
-                                       platform::Budget& budget, io::Host& host) {
+                                       platform::ConnectionBudget& budget, io::Host& host) {
   controller::Core::Options options;
   options.seed = config.seed;
   options.port = [&links, &budget, &host](WorkerId id, const io::Address& at, worker::LinkEvents& events) {
@@ -57,8 +57,8 @@
   platform::LinkOptions options;
   const laureltide::Settings& module = config.settings.module;
   if (module.bounds.dial_timeout > Duration(0)) options.dial_timeout = module.bounds.dial_timeout;
-  options.quiet = 2 * options.dial_timeout;
-  options.idle = config.idle_closes * 2 / 3;
+  options.unresponsive_after = 2 * options.dial_timeout;
+  options.idle_timeout = config.idle_closes * 2 / 3;
   options.streams = config.streams;
   options.load = config.load;
   options.tells_company = module.instances.tells_company;
@@ -86,9 +86,9 @@
       front_(host, front_options(config_), *this),
       second_(host.timer([this] { second(); })),
       drain_look_(host.timer([this] { look_at_drain(); })) {
-  budget_.most = of_rest(config_.limits, 1 - kClientsShare);
-  budget_.at_least = budget_.most / 4;
-  budget_.most -= budget_.at_least;
+  budget_.limit = of_rest(config_.limits, 1 - kClientsShare);
+  budget_.reserve = budget_.limit / 4;
+  budget_.limit -= budget_.reserve;
   most_held_bytes_ =
       static_cast<std::size_t>(kHeldShare * static_cast<double>(config_.limits.memory_mb << 20));
 }
@@ -99,11 +99,11 @@
   take_known(config_.known);
   list_current_until(host_.now());  // what is known is so up to the start
   if (!front_.listen(config_.listen)) return false;
-  feed_ = std::make_unique<platform::Follower>(
-      host_, config_.bus, roster_.last(), platform::Follower::Options{},
+  feed_ = std::make_unique<platform::EventSubscriber>(
+      host_, config_.bus, roster_.last(), platform::EventSubscriber::Options{},
       [this](const platform::Event& event) { return take_event(event.id, event.data); },
       [this](const std::string& why) { odd("event bus: " + why); });
-  feed_->on_current([this](Time at) { list_current_until(at); });
+  feed_->on_current_until([this](Time at) { list_current_until(at); });
   core_.on_gap = [] {};  // events are numbered: a gap shows before the core could see it
   second_due_ = host_.now() + std::chrono::seconds(1);
   second_->start(std::chrono::seconds(1));
@@ -113,8 +113,8 @@
 // ---- The list -----------------------------------------------------------------------------------------
 
 bool Node::take_event(std::uint64_t number, std::string_view data) {
-  using Verdict = platform::Roster::Verdict;
-  platform::Roster::Taken taken = roster_.take(number, data);
+  using Verdict = platform::InvokerList::Verdict;
+  platform::InvokerList::ApplyResult taken = roster_.take(number, data);
   if (taken.verdict == Verdict::kGap || taken.verdict == Verdict::kBad) {
     const bool again = std::exchange(missing_at_, number) == number;
     odd("event bus: event " + std::to_string(number) + ": " +
@@ -122,13 +122,13 @@
         (again ? "; all events are asked for" : "; asked for again"));
     // It may tell of a drain, so it is never just passed over.
     if (again && feed_) {
-      roster_.rebuild(number);
-      feed_->ask_from(0);
+      roster_.start_replay(number);
+      feed_->resume_from(0);
     }
     return false;
   }
   if (!taken.why.empty()) odd("event bus: an event that cannot be read in full: " + taken.why);
-  if (taken.verdict != Verdict::kTaken) return true;
+  if (taken.verdict != Verdict::kApplied) return true;
   say_changes(number, taken.changes);
   taken.update.from = core_.list().version();
   core_.take_list(taken.update);
@@ -136,13 +136,13 @@
 }
 
 // One line an event: the first workers by name, all of them by number.
-void Node::say_changes(std::uint64_t event, const std::vector<platform::Roster::Change>& changes) {
+void Node::say_changes(std::uint64_t event, const std::vector<platform::InvokerList::Change>& changes) {
   if (changes.empty()) return;
   std::ostringstream line;
   line << "list: event " << event << " changes " << changes.size() << " of " << roster_.names()
        << " workers:";
   std::size_t named = 0;
-  for (const platform::Roster::Change& change : changes) {
+  for (const platform::InvokerList::Change& change : changes) {
     if (++named > kMostChangesNamed) {
       line << " ...";
       break;
@@ -156,13 +156,13 @@
 
 // While all events are told again the list held lacks what made that necessary.
 void Node::list_current_until(Time at) {
-  if (roster_.rebuilding() && at > current_until_) return;
+  if (roster_.replaying() && at > current_until_) return;
   current_until_ = at;
   core_.list_current_until(at);
 }
 
 void Node::look_at_discovery() {
-  const Time heard = feed_->heard_at();
+  const Time heard = feed_->last_line_at();
   const Time now = host_.now();
   const bool away = now - heard > kDiscoveryAwayAfter;
   const auto ms = [](Duration d) {
@@ -191,8 +191,8 @@
 bool Node::take_known(const std::vector<Known>& known) {
   bool all = true;
   for (const Known& event : known)
-    if (!(all = !roster_.rebuilding() && take_event(event.number, event.data))) break;
-  if (feed_ && !roster_.rebuilding()) feed_->skip_to(roster_.last());
+    if (!(all = !roster_.replaying() && take_event(event.number, event.data))) break;
+  if (feed_ && !roster_.replaying()) feed_->skip_to(roster_.last());
   return all;
 }
 
@@ -387,7 +387,7 @@
     first = false;
   }
   line << " list_event=" << roster_.last() << " discovery_heard_ms_ago="
-       << std::chrono::duration_cast<std::chrono::milliseconds>(host_.now() - feed_->heard_at()).count();
+       << std::chrono::duration_cast<std::chrono::milliseconds>(host_.now() - feed_->last_line_at()).count();
   const LeaseCounters& leases = core_.module().lease_counters();
   line << " leases=asked:" << leases.asked << ",ready:" << leases.ready << ",refused:" << leases.refused
        << ",unanswered:" << leases.unanswered
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -17,7 +17,7 @@
 #include "front/server.h"
 #include "node/config.h"
 #include "platform/feed.h"
-#include "platform/roster.h"
+#include "platform/invoker_list.h"
 
 namespace laureltide::node {
 
@@ -38,8 +38,8 @@
   void drain(std::function<void()> done);
 
   controller::Core& core() { return core_; }
-  const platform::Roster& roster() const { return roster_; }
-  const platform::Follower& feed() const { return *feed_; }
+  const platform::InvokerList& roster() const { return roster_; }
+  const platform::EventSubscriber& feed() const { return *feed_; }
   io::Address address() const { return front_.address(); }
   std::size_t clients() const { return front_.connections(); }
   std::size_t ids() const { return tickets_.size() + ended_.size(); }
@@ -72,7 +72,7 @@
   void second();
   void say_stats();
   void say_repeat(const controller::Ended& ended);
-  void say_changes(std::uint64_t event, const std::vector<platform::Roster::Change>& changes);
+  void say_changes(std::uint64_t event, const std::vector<platform::InvokerList::Change>& changes);
   void look_at_discovery();
   void list_current_until(Time at);
   void look_at_drain();
@@ -83,11 +83,11 @@
   bool log_calls_;
   std::shared_ptr<const config::Settings> settings_;
   platform::LinkOptions link_options_;
-  platform::Budget budget_;
-  platform::Roster roster_;
+  platform::ConnectionBudget budget_;
+  platform::InvokerList roster_;
   controller::Core core_;
   front::Server front_;
-  std::unique_ptr<platform::Follower> feed_;
+  std::unique_ptr<platform::EventSubscriber> feed_;
   std::unordered_map<front::Server::Ticket, Open> tickets_;
   std::unordered_map<std::uint64_t, front::Server::Ticket> ids_;  // of open calls
   // Of calls that ended not long ago: an id is new with every request, so one that comes again is no call,
--- a/src/platform/feed.cpp
+++ b/src/platform/feed.cpp
@@ -146,8 +146,9 @@
   return true;
 }
 
-Follower::Follower(io::Host& host, io::Address bus, std::uint64_t last, Options options,
-                   std::function<bool(const Event&)> heard, std::function<void(const std::string&)> lost)
+EventSubscriber::EventSubscriber(io::Host& host, io::Address bus, std::uint64_t last, Options options,
+                                 std::function<bool(const Event&)> heard,
+                                 std::function<void(const std::string&)> lost)
     : host_(host),
       bus_(std::move(bus)),
       last_(last),
@@ -162,14 +163,14 @@
   timer_->start(Duration(0));
 }
 
-void Follower::move(const io::Address& bus) {
+void EventSubscriber::move(const io::Address& bus) {
   bus_ = bus;
   connection_.reset();
   back_off_ = {};
   dial();
 }
 
-void Follower::dial() {
+void EventSubscriber::dial() {
   timer_->stop();
   parser_ = {};
   dialed_ = host_.now();
@@ -180,7 +181,7 @@
   silence_->start(options_.dial_timeout + answer_wait_);
 }
 
-void Follower::on_open() {
+void EventSubscriber::on_open() {
   silence_->start(answer_wait_);
   line_or_ask_at_ = bytes_at_ = said_at_ = host_.now();
   set_current_until(std::min(current_until_, host_.now()));
@@ -188,7 +189,7 @@
                      "\r\nAccept: text/event-stream\r\nLast-Event-ID: " + std::to_string(last_) + "\r\n\r\n");
 }
 
-std::size_t Follower::on_bytes(std::string_view bytes) {
+std::size_t EventSubscriber::on_bytes(std::string_view bytes) {
   bool gap = false;
   const std::size_t lines = parser_.lines_read();
   const bool was_in_body = parser_.in_body();  // the head may take longer than lines may
@@ -219,23 +220,23 @@
   return bytes.size();
 }
 
-void Follower::on_closed(io::Closed why) {
+void EventSubscriber::on_closed(io::Closed why) {
   drop(why == io::Closed::kNeverOpened ? "no connection to the bus" : "the bus hung up");
 }
 
-void Follower::on_silence() {
+void EventSubscriber::on_silence() {
   if (parser_.in_body()) return drop("silent");
   answer_wait_ = std::min(2 * answer_wait_, options_.longest_answer_within);
   drop("no answer");
 }
 
-void Follower::set_current_until(Time at) {
+void EventSubscriber::set_current_until(Time at) {
   if (at == current_until_) return;
   current_until_ = at;
   if (current_) current_(at);
 }
 
-void Follower::drop(const std::string& why) {
+void EventSubscriber::drop(const std::string& why) {
   connection_.reset();
   silence_->stop();
   lost_(why);
--- a/src/platform/feed.h
+++ b/src/platform/feed.h
@@ -59,7 +59,7 @@
   std::string why_;
 };
 
-class Follower : public io::ConnectionEvents {
+class EventSubscriber : public io::ConnectionEvents {
  public:
   struct Options {
     Duration silent = std::chrono::milliseconds(1800);  // a comment is late by most of a second
@@ -74,27 +74,27 @@
   };
   // `heard` is given each event once, in order, above `last`. It returns false for one that cannot be taken
   // yet (a gap): the bus is asked again from the last one held. `lost` is told why a connection ended.
-  Follower(io::Host& host, io::Address bus, std::uint64_t last, Options options,
-           std::function<bool(const Event&)> heard, std::function<void(const std::string&)> lost);
+  EventSubscriber(io::Host& host, io::Address bus, std::uint64_t last, Options options,
+                  std::function<bool(const Event&)> heard, std::function<void(const std::string&)> lost);
 
   // The shortest of the platform's times after which what a bus out of reach would tell counts as told: 2 s
   // after a break, 4 s after it falls silent.
   static constexpr Duration kToldAfter = std::chrono::seconds(2);
   // `current` is given the time before which no change can count as told that has not been given to `heard`.
   // It mostly rises; it falls back when the bus is asked anew and has not answered yet.
-  void on_current(std::function<void(Time)> current) { current_ = std::move(current); }
+  void on_current_until(std::function<void(Time)> current) { current_ = std::move(current); }
 
   // Another bus from now on; the numbers go on.
   void move(const io::Address& bus);
   // Events behind this one are told again. From within `heard`, which then returns false.
-  void ask_from(std::uint64_t last) { last_ = last; }
+  void resume_from(std::uint64_t last) { last_ = last; }
   // Events up to this one came by another way.
   void skip_to(std::uint64_t last) { last_ = std::max(last_, last); }
   std::uint64_t last() const { return last_; }
   const io::Address& bus() const { return bus_; }
   bool connected() const { return parser_.in_body(); }
   // When the bus last said a whole line, an event or a comment; the start of the watch where it has not.
-  Time heard_at() const { return heard_at_; }
+  Time last_line_at() const { return heard_at_; }
 
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
--- a/src/platform/frame.cpp
+++ b/src/platform/frame.cpp
@@ -27,7 +27,7 @@
   };
   if (bytes.empty()) return result;
   if (static_cast<std::uint8_t>(bytes[0]) != mark) return bad("another mark than the peer's");
-  if (bytes.size() < kHeadBytes) return result;
+  if (bytes.size() < kHeaderBytes) return result;
   Reader in(bytes);
   in.u8();
   result.frame.code = in.u8();
@@ -36,13 +36,13 @@
   result.frame.id = in.u64();
   result.id = result.frame.id;
   if (fields > kMostFields) return bad("more fields than any frame has");
-  if (body > kMostBody) return bad("a body longer than any frame has");
-  if (bytes.size() < kHeadBytes + fields + body + kCheckBytes) return result;
+  if (body > kMaxBodyBytes) return bad("a body longer than any frame has");
+  if (bytes.size() < kHeaderBytes + fields + body + kChecksumBytes) return result;
   result.frame.fields = in.take(fields);
   result.frame.body = in.take(body);
   if (in.u32() != check_of(result.frame.fields, result.frame.body)) return bad("the check does not fit");
   result.kind = ParseResult::Kind::kFrame;
-  result.size = kHeadBytes + fields + body + kCheckBytes;
+  result.size = kHeaderBytes + fields + body + kChecksumBytes;
   return result;
 }
 
--- a/src/platform/frame.h
+++ b/src/platform/frame.h
@@ -13,10 +13,10 @@
 
 namespace laureltide::platform {
 
-inline constexpr std::uint8_t kFromController = 76, kFromInvoker = 108;
-inline constexpr std::size_t kHeadBytes = 16, kCheckBytes = 4;
-inline constexpr std::size_t kMostFields = 4096;     // an answer's are some dozens of bytes
-inline constexpr std::size_t kMostBody = 64U << 10;  // bodies hold 16 KiB at most; with room to spare
+inline constexpr std::uint8_t kControllerMagic = 76, kInvokerMagic = 108;
+inline constexpr std::size_t kHeaderBytes = 16, kChecksumBytes = 4;
+inline constexpr std::size_t kMostFields = 4096;         // an answer's are some dozens of bytes
+inline constexpr std::size_t kMaxBodyBytes = 64U << 10;  // bodies hold 16 KiB at most; with room to spare
 
 enum class Code : std::uint8_t {
   kCall = 65,
--- a/src/platform/roster.cpp
+++ b/src/platform/invoker_list.cpp
@@ -1,4 +1,4 @@
-#include "platform/roster.h"
+#include "platform/invoker_list.h"
 
 #include <nlohmann/json.hpp>
 
@@ -63,7 +63,7 @@
   if (complete != topology.end() && !complete->is_boolean()) return bad("complete is neither true nor false");
   event.full = complete != topology.end() && complete->get<bool>();
   const auto listed = topology.find("members");
-  if (listed == topology.end() || !listed->is_array() || listed->size() > Roster::kMostMembers)
+  if (listed == topology.end() || !listed->is_array() || listed->size() > InvokerList::kMostMembers)
     return bad("members is no list or too long");
   for (const json& entry : *listed) {
     const bool named = entry.is_object() && entry.contains("id") && entry["id"].is_string();
@@ -82,9 +82,9 @@
 
 }  // namespace
 
-Roster::Taken Roster::take(std::uint64_t number, std::string_view data) {
+InvokerList::ApplyResult InvokerList::take(std::uint64_t number, std::string_view data) {
   if (rebuild_) return replay(number, data);
-  Taken taken;
+  ApplyResult taken;
   if (number <= last_) return taken.verdict = Verdict::kOld, taken;
   Event event = read(data, true);
   if (!event.bad.empty()) return taken.why = std::move(event.bad), taken;
@@ -117,12 +117,12 @@
   }
   last_ = number;
   taken.changes = changes(as_held, held_);
-  taken.verdict = Verdict::kTaken;
+  taken.verdict = Verdict::kApplied;
   return taken;
 }
 
 // Both are in the order of names.
-std::vector<Roster::Change> Roster::changes(const Members& before, const Members& after) {
+std::vector<InvokerList::Change> InvokerList::changes(const Members& before, const Members& after) {
   std::vector<Change> all;
   for (const auto& [name, member] : before)
     if (!after.contains(name)) all.push_back({name, member.id, member.state, WorkerState::kGone});
@@ -136,10 +136,10 @@
   return all;
 }
 
-void Roster::rebuild(std::uint64_t goal) { rebuild_ = Rebuild{goal, 0, {}}; }
+void InvokerList::start_replay(std::uint64_t goal) { rebuild_ = Rebuild{goal, 0, {}}; }
 
-Roster::Taken Roster::replay(std::uint64_t number, std::string_view data) {
-  Taken taken;
+InvokerList::ApplyResult InvokerList::replay(std::uint64_t number, std::string_view data) {
+  ApplyResult taken;
   taken.verdict = Verdict::kOld;
   Rebuild& r = *rebuild_;
   if (number <= r.last) return taken;
@@ -172,11 +172,11 @@
   held_ = std::move(r.members);
   last_ = number;
   rebuild_.reset();
-  taken.verdict = Verdict::kTaken;
+  taken.verdict = Verdict::kApplied;
   return taken;
 }
 
-std::optional<std::uint32_t> Roster::number_of(const std::string& name) const {
+std::optional<std::uint32_t> InvokerList::worker_id_of(const std::string& name) const {
   const auto it = held_.find(name);
   return it == held_.end() ? std::nullopt : std::optional(it->second.id);
 }
--- a/src/platform/roster.h
+++ b/src/platform/invoker_list.h
@@ -19,11 +19,11 @@
 
 namespace laureltide::platform {
 
-class Roster {
+class InvokerList {
  public:
   static constexpr std::size_t kMostMembers = 10'000;
   enum class Verdict {
-    kTaken,
+    kApplied,
     kOld,  // told before, or part of a replay that is not whole yet
     kGap,  // an earlier one is missing: nothing of it counts
     kBad,  // unreadable: nothing of it counts
@@ -35,21 +35,21 @@
     std::optional<WorkerState> before;
     WorkerState after = WorkerState::kReady;
   };
-  struct Taken {
+  struct ApplyResult {
     Verdict verdict = Verdict::kBad;
     members::Update update;       // when taken; at the end of a replay the list in full
     std::vector<Change> changes;  // when taken, for logs
     std::string why;              // when bad; else what of it could not be read, if anything
   };
   // `data` is an event's JSON. An event of a list in full may come after a gap, changes may not.
-  Taken take(std::uint64_t number, std::string_view data);
+  ApplyResult take(std::uint64_t number, std::string_view data);
   // All events are going to be told again from the first, as far as `goal` at least.
-  void rebuild(std::uint64_t goal);
-  bool rebuilding() const { return rebuild_.has_value(); }
+  void start_replay(std::uint64_t goal);
+  bool replaying() const { return rebuild_.has_value(); }
 
   std::uint64_t last() const { return last_; }  // of the list held
   std::size_t names() const { return held_.size(); }
-  std::optional<std::uint32_t> number_of(const std::string& name) const;
+  std::optional<std::uint32_t> worker_id_of(const std::string& name) const;
 
  private:
   using Members = std::map<std::string, members::Member>;  // by name
@@ -57,7 +57,7 @@
     std::uint64_t goal = 0, last = 0;
     Members members;
   };
-  Taken replay(std::uint64_t number, std::string_view data);
+  ApplyResult replay(std::uint64_t number, std::string_view data);
   static std::vector<Change> changes(const Members& before, const Members& after);
 
   Members held_;
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -60,9 +60,11 @@
     if (connection_->unsent() > 0) unsent_timer_->start(kLookAtUnsentEvery);
   }
   void rest() {  // nothing is out any more
-    if (open && out.empty()) timer_->start(link_.options_.idle);
+    if (open && out.empty()) timer_->start(link_.options_.idle_timeout);
+  }
+  bool unresponsive() const {
+    return asked_at && link_.host_.now() - *asked_at > link_.options_.unresponsive_after;
   }
-  bool quiet() const { return asked_at && link_.host_.now() - *asked_at > link_.options_.quiet; }
   std::size_t unsent() const { return connection_ && open ? connection_->unsent() : 0; }
 
   const std::uint64_t number;
@@ -103,7 +105,7 @@
     used_at = link_.host_.now();
     std::size_t used = 0;
     while (connection_) {
-      const ParseResult r = parse(bytes.substr(used), kFromInvoker);
+      const ParseResult r = parse(bytes.substr(used), kInvokerMagic);
       if (r.kind == ParseResult::Kind::kNeedMore) break;
       if (r.kind == ParseResult::Kind::kBad) {
         link_.drop(*this, Outcome::kReset, std::string(r.why), r.id);
@@ -153,7 +155,7 @@
 
 namespace {
 
-constexpr std::size_t kReadAhead = kHeadBytes + kMostFields + kMostBody + kCheckBytes + (16U << 10);
+constexpr std::size_t kReadAhead = kHeaderBytes + kMostFields + kMaxBodyBytes + kChecksumBytes + (16U << 10);
 
 constexpr double kRestDoubles = 30;  // seconds in which what was learnt of a rest is trusted twice as far
 constexpr Duration kOutlivedCounts = std::chrono::seconds(30);  // as an example of a rest that ended nothing
@@ -175,8 +177,8 @@
 
 }  // namespace
 
-Link::Link(io::Host& host, WorkerId worker, io::Address address, const LinkOptions& options, Budget& budget,
-           worker::LinkEvents& events)
+Link::Link(io::Host& host, WorkerId worker, io::Address address, const LinkOptions& options,
+           ConnectionBudget& budget, worker::LinkEvents& events)
     : host_(host),
       worker_(worker),
       address_(std::move(address)),
@@ -229,7 +231,7 @@
       end(asked.cookie, asked.kind, Outcome::kFull, "no connection is free");
     });
   scratch_.clear();
-  write(scratch_, kFromController, code, id, fields, body);
+  write(scratch_, kControllerMagic, code, id, fields, body);
   if (wire->open) return wire->ask(id, key, scratch_);
   wire->out[id] = key;
   wire->waiting[id] = {scratch_, begins};
@@ -243,7 +245,7 @@
   Wire* unfit = nullptr;  // the first to go where a connection more needs the room
   const Time now = host_.now();
   for (const auto& wire : wires_) {
-    const bool bad = wire->retired || wire->quiet() || (wire->open && now - wire->used_at > rest()) ||
+    const bool bad = wire->retired || wire->unresponsive() || (wire->open && now - wire->used_at > rest()) ||
                      wire->carried.contains(id);
     if (bad && (!unfit || wire->out.size() < unfit->out.size())) unfit = wire.get();
     if (bad || wire->out.size() >= options_.streams || wire->out.contains(id)) continue;
@@ -252,10 +254,10 @@
     if (!least || wire->out.size() < least->out.size()) least = wire.get();
   }
   if (idle) return idle;
-  const std::size_t most = budget_.most + (least ? 0 : budget_.at_least);
-  const bool full = wires_.size() >= options_.most_own || budget_.open >= most;
+  const std::size_t most = budget_.limit + (least ? 0 : budget_.reserve);
+  const bool full = wires_.size() >= options_.max_connections || budget_.open >= most;
   if (full && unfit && unfit->out.empty()) drop(*unfit, Outcome::kReset, "makes room");
-  if (wires_.size() < options_.most_own && budget_.open < most) {
+  if (wires_.size() < options_.max_connections && budget_.open < most) {
     wires_.push_back(std::make_unique<Wire>(*this, ++connections_made_, kReadAhead));
     return wires_.back().get();
   }
@@ -329,7 +331,7 @@
   const bool stuck = wire.unsent() > 0;  // its own bytes may be among them, and cannot be called back
   if (asked.kind == Kind::kCall && !stuck) {
     scratch_.clear();
-    write(scratch_, kFromController, Code::kGiveUp, asked.id, {}, {});
+    write(scratch_, kControllerMagic, Code::kGiveUp, asked.id, {}, {});
     wire.put(scratch_);
   }
   if (stuck)
@@ -365,9 +367,9 @@
   if (!id) return;
   // Only a connection that stands: without one there is nothing of ours that could not as well idle out.
   for (const auto& wire : wires_) {
-    if (!wire->open || wire->retired || wire->quiet()) continue;
+    if (!wire->open || wire->retired || wire->unresponsive()) continue;
     scratch_.clear();
-    write(scratch_, kFromController, Code::kUnload, *id, {}, {});
+    write(scratch_, kControllerMagic, Code::kUnload, *id, {}, {});
     return wire->put(scratch_);
   }
 }
@@ -524,15 +526,15 @@
 }
 
 Duration Link::rest() const {
-  if (rest_ == Duration(0)) return options_.idle;
+  if (rest_ == Duration(0)) return options_.idle_timeout;
   const double seconds = std::chrono::duration<double>(host_.now() - rest_learnt_).count();
   const double grown = std::chrono::duration<double>(rest_).count() * std::exp2(seconds / kRestDoubles);
-  return std::min(options_.idle,
+  return std::min(options_.idle_timeout,
                   std::chrono::duration_cast<Duration>(std::chrono::duration<double>(std::min(grown, 1e4))));
 }
 
 void Link::learn_rest(Duration rested) {
-  if (rested >= options_.idle || rested / 2 >= rest()) return;
+  if (rested >= options_.idle_timeout || rested / 2 >= rest()) return;
   // A bound on rests would have ended the one that lasted longer: this end has another cause.
   if (rested <= outlived_ && host_.now() - outlived_at_ < kOutlivedCounts) return;
   rest_ = std::max(options_.least_rest, rested / 2);
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -3,8 +3,8 @@
 // A few connections, opened at need. A call takes an idle one where there is one, opens another while the
 // budget that all links share has room, and shares the least laden one after that: what is spoilt or breaks
 // takes as few other calls with it as can be. What may not be trusted gets nothing new: a connection on which
-// an attempt went unanswered, or that is silent for `quiet` while something is out there. It keeps what is
-// out until that has ended. A dial that never comes up proves that nothing ran.
+// an attempt went unanswered, or that is silent for `unresponsive_after` while something is out there. It
+// keeps what is out until that has ended. A dial that never comes up proves that nothing ran.
 //
 // An invoker, or what stands between, may end idle connections long before the settings say, and a call that
 // crosses such an end may have run. So a link learns for how long a connection may rest: half the rest after
@@ -26,9 +26,9 @@
 // over one connection twice: what comes on a connection is of the one attempt that it carried. Where each
 // connection has carried the id and no other can be made, the call ends as full.
 //
-// Bounds: `streams` frames out a connection, CarriedIds::kMost over its life; `most_own` connections a link
-// and Budget::most in all, over them a call ends as full; `most_unknown` answers that nobody waits for, over
-// it the connection ends.
+// Bounds: `streams` frames out a connection, CarriedIds::kMost over its life; `max_connections` connections a
+// link and Budget::most in all, over them a call ends as full; `most_unknown` answers that nobody waits for,
+// over it the connection ends.
 #pragma once
 
 #include <map>
@@ -42,22 +42,23 @@
 namespace laureltide::platform {
 
 // Connections of all links together, so that descriptors are never used up.
-struct Budget {
+struct ConnectionBudget {
   std::size_t open = 0;
-  std::size_t most = 64;      // past it a link shares what it has
-  std::size_t at_least = 32;  // above `most`, for links that have none
+  std::size_t limit = 64;    // past it a link shares what it has
+  std::size_t reserve = 32;  // above `most`, for links that have none
 };
 
 enum class LoadValue { kInHand, kWaiting, kBusyCores, kRunMs, kServed, kErrors, kMemory, kLoads };
 
 struct LinkOptions {
   Duration dial_timeout = std::chrono::milliseconds(250);
-  Duration idle = std::chrono::seconds(20);             // an idle connection goes before the invoker ends it
-  Duration quiet = std::chrono::milliseconds(500);      // silence while something is out, then nothing new
+  Duration idle_timeout = std::chrono::seconds(20);  // an idle connection goes before the invoker ends it
+  Duration unresponsive_after =
+      std::chrono::milliseconds(500);                   // silence while something is out, then nothing new
   Duration least_rest = std::chrono::milliseconds(20);  // that is ever learnt
   Duration verdict = std::chrono::milliseconds(5);      // in which a dying process ends its other connections
   std::size_t streams = 32;
-  std::size_t most_own = 16;
+  std::size_t max_connections = 16;
   std::size_t most_unknown = 64;
   std::vector<std::pair<std::string, LoadValue>> load;  // names of a report's values, as the settings list
   bool tells_company = false;
@@ -65,8 +66,8 @@
 
 class Link : public worker::Port {
  public:
-  Link(io::Host& host, WorkerId worker, io::Address address, const LinkOptions& options, Budget& budget,
-       worker::LinkEvents& events);
+  Link(io::Host& host, WorkerId worker, io::Address address, const LinkOptions& options,
+       ConnectionBudget& budget, worker::LinkEvents& events);
   ~Link() override;
 
   // ---- Port ----
@@ -121,7 +122,7 @@
   WorkerId worker_;
   io::Address address_;
   const LinkOptions& options_;
-  Budget& budget_;
+  ConnectionBudget& budget_;
   worker::LinkEvents& events_;
   std::vector<std::unique_ptr<Wire>> wires_;
   io::Graveyard<Wire> dead_;
--- a/tests/members/list_test.cpp
+++ b/tests/members/list_test.cpp
@@ -21,15 +21,15 @@
 }
 
 struct ListTest : testing::Test {
-  List list{{"small", "big"}};
+  WorkerList list{{"small", "big"}};
   Verdict take(const Update& u, bool cached = false) { return list.take(u, {}, cached).verdict; }
 };
 
 TEST_F(ListTest, VersionsGoForward) {
-  EXPECT_EQ(take(full(5, {member(1)})), Verdict::kTaken);
+  EXPECT_EQ(take(full(5, {member(1)})), Verdict::kApplied);
   EXPECT_EQ(take(full(4, {})), Verdict::kStale);
   EXPECT_EQ(take(full(5, {})), Verdict::kStale);
-  EXPECT_EQ(take(change(5, 6, {member(2)})), Verdict::kTaken);
+  EXPECT_EQ(take(change(5, 6, {member(2)})), Verdict::kApplied);
   EXPECT_EQ(take(change(5, 6, {member(3)})), Verdict::kStale);
   EXPECT_EQ(take(change(7, 8, {member(4)})), Verdict::kGap);
   EXPECT_EQ(list.members().size(), 2U);
@@ -38,21 +38,21 @@
 TEST_F(ListTest, ALaterEpochStartsOverAndAnEarlierOneIsPassedOver) {
   take(full(50, {member(1)}));
   EXPECT_EQ(take(change(1, 2, {member(2)}, 2)), Verdict::kGap);
-  const List::Taken t = list.take(full(1, {member(2)}, 2), {});
-  EXPECT_EQ(t.verdict, Verdict::kTaken);
+  const WorkerList::ApplyResult t = list.take(full(1, {member(2)}, 2), {});
+  EXPECT_EQ(t.verdict, Verdict::kApplied);
   EXPECT_GT(t.version, 1U);  // the module's version goes on rising
   EXPECT_EQ(take(full(60, {member(1)}, 1)), Verdict::kStale);
 }
 
 TEST_F(ListTest, TheServiceReplacesACachedListOfItsVersion) {
-  EXPECT_EQ(take(full(5, {member(1)}), true), Verdict::kTaken);
+  EXPECT_EQ(take(full(5, {member(1)}), true), Verdict::kApplied);
   EXPECT_EQ(take(change(5, 6, {member(2)})), Verdict::kGap);  // a cache is no base for changes
-  EXPECT_EQ(take(full(5, {member(1), member(2)})), Verdict::kTaken);
+  EXPECT_EQ(take(full(5, {member(1), member(2)})), Verdict::kApplied);
   EXPECT_EQ(take(full(5, {member(1), member(2)})), Verdict::kStale);
 }
 
 TEST_F(ListTest, EntriesKeepKindAndAddress) {
-  const List::Taken t = list.take(full(1, {member(1)}), {});
+  const WorkerList::ApplyResult t = list.take(full(1, {member(1)}), {});
   ASSERT_EQ(t.entries.size(), 1U);
   EXPECT_EQ(t.entries[0].kind, 1);
   Member gone;
@@ -64,7 +64,7 @@
 TEST_F(ListTest, StartTimesTurnIntoTheClockWithAFixedOffset) {
   Member m = member(1);
   m.started_unix_ms = 10'000;
-  const List::Taken t = list.take(full(1, {m}), std::chrono::seconds(-7));
+  const WorkerList::ApplyResult t = list.take(full(1, {m}), std::chrono::seconds(-7));
   EXPECT_EQ(*t.entries[0].started, Time(std::chrono::seconds(3)));
 }
 
--- a/tests/node/crossings_test.cpp
+++ b/tests/node/crossings_test.cpp
@@ -205,12 +205,12 @@
   // Codes of the whole frames that a raw invoker has read.
   static std::vector<int> frames(std::string_view bytes) {
     std::vector<int> codes;
-    while (bytes.size() >= platform::kHeadBytes) {
+    while (bytes.size() >= platform::kHeaderBytes) {
       Reader in(bytes);
       in.u8();
       const int code = in.u8();
       const std::size_t size =
-          in.u16() + std::size_t{in.u32()} + platform::kHeadBytes + platform::kCheckBytes;
+          in.u16() + std::size_t{in.u32()} + platform::kHeaderBytes + platform::kChecksumBytes;
       if (bytes.size() < size) break;
       codes.push_back(code);
       bytes.remove_prefix(size);
@@ -419,7 +419,7 @@
   }
   std::string ok(const std::string& body = "done") {
     std::string out;
-    platform::write(out, platform::kFromInvoker, platform::Code::kOk, id, "ahead=0", body);
+    platform::write(out, platform::kInvokerMagic, platform::Code::kOk, id, "ahead=0", body);
     return out;
   }
 };
@@ -484,10 +484,10 @@
   net::Loop loop;
   RawListener invoker;
   RawSocket peer;
-  platform::Budget budget{0, 1, 0};
+  platform::ConnectionBudget budget{0, 1, 0};
   platform::LinkOptions options = [] {
     platform::LinkOptions o;
-    o.streams = 1000, o.most_own = 1, o.quiet = 60s;
+    o.streams = 1000, o.max_connections = 1, o.unresponsive_after = 60s;
     return o;
   }();
   std::map<std::uint64_t, std::vector<Outcome>> ends;
@@ -521,8 +521,8 @@
     });
     std::set<std::uint64_t> ids;
     std::string_view bytes = peer.read();
-    while (bytes.size() >= platform::kHeadBytes) {
-      const auto r = platform::parse(bytes, platform::kFromController);
+    while (bytes.size() >= platform::kHeaderBytes) {
+      const auto r = platform::parse(bytes, platform::kControllerMagic);
       if (r.kind != platform::ParseResult::Kind::kFrame) break;
       if (r.frame.code == 65) ids.insert(r.frame.id);
       bytes.remove_prefix(r.size);
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -190,7 +190,7 @@
     return c.replies().find(number)->second.kind;
   }
   std::optional<WorkerState> state(int i) const {
-    const auto number = node->roster().number_of("s-" + std::to_string(i));
+    const auto number = node->roster().worker_id_of("s-" + std::to_string(i));
     const members::Member* m = number ? node->core().list().find(WorkerId{*number}) : nullptr;
     return m ? std::optional(m->state) : std::nullopt;
   }
@@ -319,11 +319,11 @@
 TEST_F(NodeTest, ANewInvokerAtAGoneOnesAddressIsAnother) {
   PlatformClient client(net, kListen);
   for (int i = 0; i < 10; ++i) client.call(fields(), "b"), net.run_for(50ms);
-  const auto before = *node->roster().number_of("s-1");
+  const auto before = *node->roster().worker_id_of("s-1");
   bus.tell({member(1, "left"), {"s-9", invoker_at(1), "active", 1, 0}});
   net.run_for(100ms);
-  EXPECT_FALSE(node->roster().number_of("s-1"));
-  EXPECT_NE(*node->roster().number_of("s-9"), before);
+  EXPECT_FALSE(node->roster().worker_id_of("s-1"));
+  EXPECT_NE(*node->roster().worker_id_of("s-9"), before);
   for (int i = 0; i < 20; ++i) {
     const auto n = client.call(fields(), "b");
     net.run_for(300ms);
@@ -336,7 +336,7 @@
   bus.tell({member(1, "leaving")}), bus.tell({member(2, "leaving")});
   net.run_for(3s);
   EXPECT_EQ(node->roster().last(), 3U);
-  EXPECT_EQ(node->core().list().find(WorkerId{*node->roster().number_of("s-2")})->state,
+  EXPECT_EQ(node->core().list().find(WorkerId{*node->roster().worker_id_of("s-2")})->state,
             WorkerState::kDraining);
 }
 
@@ -375,7 +375,7 @@
   for (int i = 0; i < 30; ++i) client.call(fields(), "b"), net.run_for(20ms);
   bus.tell_whole({member(2), member(3)});
   net.run_for(200ms);
-  EXPECT_FALSE(node->roster().number_of("s-1"));
+  EXPECT_FALSE(node->roster().worker_id_of("s-1"));
   const std::size_t calls = invoker(1).calls().size(), orders = invoker(1).orders();
   for (int i = 0; i < 50; ++i) client.call(fields(), "b"), net.run_for(50ms);
   EXPECT_EQ(invoker(1).calls().size(), calls);
@@ -394,7 +394,7 @@
   bus.tell({member(2, "left")});
   net.run_for(5s);
   EXPECT_EQ(node->roster().last(), 4U);
-  EXPECT_FALSE(node->roster().number_of("s-2"));
+  EXPECT_FALSE(node->roster().worker_id_of("s-2"));
 }
 
 // What is known has a hole where a drain was told: the rest of it waits for the bus.
--- a/tests/node/outage_test.cpp
+++ b/tests/node/outage_test.cpp
@@ -275,7 +275,7 @@
   const auto current = [&] { return node->core().module().list_holds(net.now()); };
   EXPECT_TRUE(current());
   bus.tell_as_it_is("noise");
-  ASSERT_TRUE(net.run_until([&] { return node->roster().rebuilding(); }));
+  ASSERT_TRUE(net.run_until([&] { return node->roster().replaying(); }));
   PlatformBus other(net, kOtherBus);  // holds the first event only
   ASSERT_TRUE(other.start());
   other.tell({});
@@ -283,11 +283,11 @@
   moved["bus"] = kOtherBus.text();
   node->reload(moved.dump());
   net.run_for(5s);
-  ASSERT_TRUE(node->roster().rebuilding());
+  ASSERT_TRUE(node->roster().replaying());
   EXPECT_FALSE(current());
   other.tell({});
   net.run_for(1500ms);
-  EXPECT_FALSE(node->roster().rebuilding());
+  EXPECT_FALSE(node->roster().replaying());
   EXPECT_TRUE(current());
 }
 
--- a/tests/platform/feed_test.cpp
+++ b/tests/platform/feed_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "platform/roster.h"
+#include "platform/invoker_list.h"
 #include "sim/network.h"
 #include "standin/platform.h"
 
@@ -73,13 +73,13 @@
   std::vector<std::uint64_t> heard;
   std::vector<std::string> lost;
   std::uint64_t gap = 0;
-  std::unique_ptr<Follower> follower;
+  std::unique_ptr<EventSubscriber> follower;
 
   void SetUp() override {
     ASSERT_TRUE(bus.start());
     for (int i = 0; i < 3; ++i) bus.tell({});
-    follower = std::make_unique<Follower>(
-        net, kBus, 1, Follower::Options{},
+    follower = std::make_unique<EventSubscriber>(
+        net, kBus, 1, EventSubscriber::Options{},
         [this](const Event& e) {
           if (e.id == gap) return false;
           heard.push_back(e.id);
@@ -194,7 +194,7 @@
   std::vector<Time> falls;  // when it fell back
   void SetUp() override {
     FollowerTest::SetUp();
-    follower->on_current([this](Time at) {
+    follower->on_current_until([this](Time at) {
       if (at < until) falls.push_back(net.now());
       until = at;
     });
@@ -206,9 +206,9 @@
   for (int i = 0; i < 50; ++i) {
     net.run_for(100ms);
     if (i > 11) {
-      EXPECT_GE(ahead(), Follower::kToldAfter - 1001ms);
+      EXPECT_GE(ahead(), EventSubscriber::kToldAfter - 1001ms);
     }
-    EXPECT_LE(ahead(), Duration(Follower::kToldAfter));
+    EXPECT_LE(ahead(), Duration(EventSubscriber::kToldAfter));
   }
 }
 
@@ -234,9 +234,9 @@
   const Time asked = net.now();
   net.run_until([&] { return ahead() > Duration(0); }, 10s);
   EXPECT_GT(net.now() - asked, Duration(3500ms));
-  EXPECT_LT(ahead(), Follower::kToldAfter - 1s);
+  EXPECT_LT(ahead(), EventSubscriber::kToldAfter - 1s);
   net.run_for(6s);
-  EXPECT_GE(ahead(), Follower::kToldAfter - 1001ms);
+  EXPECT_GE(ahead(), EventSubscriber::kToldAfter - 1001ms);
 }
 
 TEST_F(FreshnessTest, AskingAnewEndsIt) {
@@ -244,7 +244,7 @@
   const Time began = net.now();
   bus.set_outage(PlatformBus::Outage::kSilent);
   net.run_for(20s);  // each connection is answered with a head, and no more
-  EXPECT_LE(until - began, Duration(Follower::kToldAfter));
+  EXPECT_LE(until - began, Duration(EventSubscriber::kToldAfter));
   ASSERT_FALSE(falls.empty());
   EXPECT_LE(falls.front() - began, Duration(1800ms));
   EXPECT_EQ(falls.size(), 1U);
@@ -259,7 +259,7 @@
   const std::size_t asked = bus.asked();
   bus.set_outage(PlatformBus::Outage::kDripping);
   net.run_for(4s);
-  EXPECT_LE(until - began, Duration(Follower::kToldAfter));
+  EXPECT_LE(until - began, Duration(EventSubscriber::kToldAfter));
   EXPECT_EQ(bus.asked(), asked);  // it may be a long event
   net.run_for(3s);
   EXPECT_GT(bus.asked(), asked);
@@ -276,10 +276,10 @@
   return {id, {"127.0.0.1", port}, phase, 2, 0};
 }
 
-TEST(Roster, NumbersAreNeverGivenTwice) {
-  Roster roster;
+TEST(InvokerList, NumbersAreNeverGivenTwice) {
+  InvokerList roster;
   auto first = roster.take(1, platform_event(1, true, {invoker("a"), invoker("b", "leaving")}));
-  ASSERT_EQ(first.verdict, Roster::Verdict::kTaken) << first.why;
+  ASSERT_EQ(first.verdict, InvokerList::Verdict::kApplied) << first.why;
   EXPECT_TRUE(first.update.full);
   EXPECT_EQ(first.update.members[0].zone, "yard");
   EXPECT_EQ(first.update.members[0].cell, "2");
@@ -295,37 +295,37 @@
   EXPECT_NE(anew.update.members[0].id, anew.update.members[1].id);
 }
 
-TEST(Roster, OldOnesGapsAndWhatCannotBeReadChangeNothing) {
-  Roster roster;
+TEST(InvokerList, OldOnesGapsAndWhatCannotBeReadChangeNothing) {
+  InvokerList roster;
   roster.take(4, platform_event(4, true, {invoker("a")}));
-  EXPECT_EQ(roster.take(4, platform_event(4, false, {invoker("b")})).verdict, Roster::Verdict::kOld);
-  EXPECT_EQ(roster.take(3, platform_event(3, true, {invoker("b")})).verdict, Roster::Verdict::kOld);
-  EXPECT_EQ(roster.take(6, platform_event(6, false, {invoker("b")})).verdict, Roster::Verdict::kGap);
+  EXPECT_EQ(roster.take(4, platform_event(4, false, {invoker("b")})).verdict, InvokerList::Verdict::kOld);
+  EXPECT_EQ(roster.take(3, platform_event(3, true, {invoker("b")})).verdict, InvokerList::Verdict::kOld);
+  EXPECT_EQ(roster.take(6, platform_event(6, false, {invoker("b")})).verdict, InvokerList::Verdict::kGap);
   for (const char* bad :
        {"", "[]", "{}", R"({"topology":{}})", R"({"topology":7})", R"({"topology":{"members":{}}})",
         R"({"topology":{"members":[1]}})", R"({"topology":{"members":[{"id":7,"host_port":"1.2.3.4:5"}]}})",
         R"({"topology":{"members":[{"host_port":"1.2.3.4:5"}]}})",
         R"({"topology":{"complete":"yes","members":[]}})"}) {
     const auto taken = roster.take(5, bad);
-    EXPECT_EQ(taken.verdict, Roster::Verdict::kBad) << bad;
+    EXPECT_EQ(taken.verdict, InvokerList::Verdict::kBad) << bad;
     EXPECT_FALSE(taken.why.empty()) << bad;
   }
   EXPECT_EQ(roster.names(), 1U);
   EXPECT_EQ(roster.last(), 4U);
-  EXPECT_EQ(roster.take(6, platform_event(6, true, {invoker("b")})).verdict, Roster::Verdict::kTaken);
-  EXPECT_FALSE(roster.number_of("a"));  // not in the whole list
+  EXPECT_EQ(roster.take(6, platform_event(6, true, {invoker("b")})).verdict, InvokerList::Verdict::kApplied);
+  EXPECT_FALSE(roster.worker_id_of("a"));  // not in the whole list
 }
 
 // An entry that names an invoker and cannot be read in full may be its drain.
-TEST(Roster, AnEntryReadInPartCountsAsLeaving) {
+TEST(InvokerList, AnEntryReadInPartCountsAsLeaving) {
   for (const char* part : {R"("phase":"odd")", R"("phase":3)", R"("host_port":"nowhere")", R"("size":"big")",
                            R"("up_since_ms":"now")"}) {
-    Roster roster;
+    InvokerList roster;
     roster.take(1, platform_event(1, true, {invoker("a"), invoker("b")}));
-    const std::uint32_t a = *roster.number_of("a");
+    const std::uint32_t a = *roster.worker_id_of("a");
     const auto taken = roster.take(2, std::string(R"({"topology":{"members":[{"id":"a",)") + part +
                                           R"(},{"id":"b","phase":"leaving"}]}})");
-    ASSERT_EQ(taken.verdict, Roster::Verdict::kTaken) << part;
+    ASSERT_EQ(taken.verdict, InvokerList::Verdict::kApplied) << part;
     EXPECT_NE(taken.why.find("invoker a"), std::string::npos) << taken.why;
     ASSERT_EQ(taken.update.members.size(), 2U);
     EXPECT_EQ(taken.update.members[0].id, a);
@@ -335,51 +335,54 @@
 }
 
 // The list held stands until the replay has come as far as was told before, and is then replaced in one step.
-TEST(Roster, AReplayReplacesTheListInOneStep) {
-  Roster roster;
+TEST(InvokerList, AReplayReplacesTheListInOneStep) {
+  InvokerList roster;
   roster.take(1, platform_event(1, true, {invoker("a"), invoker("b", "active", 7002), invoker("c")}));
-  const std::uint32_t a = *roster.number_of("a"), b = *roster.number_of("b"), c = *roster.number_of("c");
-  roster.rebuild(4);  // 2 and 3 never came
-  EXPECT_TRUE(roster.rebuilding());
+  const std::uint32_t a = *roster.worker_id_of("a"), b = *roster.worker_id_of("b"),
+                      c = *roster.worker_id_of("c");
+  roster.start_replay(4);  // 2 and 3 never came
+  EXPECT_TRUE(roster.replaying());
   EXPECT_EQ(
       roster.take(1, platform_event(1, true, {invoker("a"), invoker("b", "active", 7002), invoker("c")}))
           .verdict,
-      Roster::Verdict::kOld);
-  EXPECT_EQ(roster.take(2, platform_event(2, false, {invoker("c", "left")})).verdict, Roster::Verdict::kOld);
-  EXPECT_TRUE(roster.number_of("c"));  // as held
+      InvokerList::Verdict::kOld);
+  EXPECT_EQ(roster.take(2, platform_event(2, false, {invoker("c", "left")})).verdict,
+            InvokerList::Verdict::kOld);
+  EXPECT_TRUE(roster.worker_id_of("c"));  // as held
   EXPECT_EQ(roster.take(3, platform_event(3, false, {invoker("a", "leaving")})).verdict,
-            Roster::Verdict::kOld);
-  EXPECT_EQ(roster.take(3, platform_event(3, false, {invoker("b", "left")})).verdict, Roster::Verdict::kOld);
+            InvokerList::Verdict::kOld);
+  EXPECT_EQ(roster.take(3, platform_event(3, false, {invoker("b", "left")})).verdict,
+            InvokerList::Verdict::kOld);
   const auto whole = roster.take(4, platform_event(4, false, {invoker("c", "active", 7003)}));
-  ASSERT_EQ(whole.verdict, Roster::Verdict::kTaken);
+  ASSERT_EQ(whole.verdict, InvokerList::Verdict::kApplied);
   EXPECT_TRUE(whole.update.full);
   EXPECT_EQ(whole.update.version, 4U);
   ASSERT_EQ(whole.update.members.size(), 3U);
-  EXPECT_EQ(roster.number_of("a"), a);
+  EXPECT_EQ(roster.worker_id_of("a"), a);
   EXPECT_EQ(whole.update.members[0].state, WorkerState::kDraining);
-  EXPECT_EQ(roster.number_of("b"), b);
-  EXPECT_NE(roster.number_of("c"), c);  // it had left, and came back as another process
+  EXPECT_EQ(roster.worker_id_of("b"), b);
+  EXPECT_NE(roster.worker_id_of("c"), c);  // it had left, and came back as another process
   EXPECT_EQ(roster.last(), 4U);
-  EXPECT_FALSE(roster.rebuilding());
+  EXPECT_FALSE(roster.replaying());
   EXPECT_EQ(roster.take(5, platform_event(5, false, {invoker("a", "left")})).verdict,
-            Roster::Verdict::kTaken);
+            InvokerList::Verdict::kApplied);
 }
 
 // What even the replay lacks, or tells unreadably, is passed over there; the rest counts.
-TEST(Roster, WhatTheReplayLacksIsPassedOver) {
-  Roster roster;
+TEST(InvokerList, WhatTheReplayLacksIsPassedOver) {
+  InvokerList roster;
   roster.take(1, platform_event(1, true, {invoker("a"), invoker("b")}));
-  roster.rebuild(4);
+  roster.start_replay(4);
   roster.take(1, platform_event(1, true, {invoker("a"), invoker("b")}));
   roster.take(2, "noise");
   const auto whole = roster.take(4, platform_event(4, false, {invoker("b", "leaving")}));
-  ASSERT_EQ(whole.verdict, Roster::Verdict::kTaken);
+  ASSERT_EQ(whole.verdict, InvokerList::Verdict::kApplied);
   ASSERT_EQ(whole.update.members.size(), 2U);
   EXPECT_EQ(whole.update.members[1].state, WorkerState::kDraining);
 }
 
-TEST(Roster, NamesDoNotPileUp) {
-  Roster roster;
+TEST(InvokerList, NamesDoNotPileUp) {
+  InvokerList roster;
   roster.take(1, platform_event(1, true, {}));
   for (std::uint64_t n = 2; n < 2000; n += 2) {
     roster.take(n, platform_event(n, false, {invoker("s" + std::to_string(n))}));
--- a/tests/platform/link_test.cpp
+++ b/tests/platform/link_test.cpp
@@ -20,7 +20,7 @@
 
 TEST(PlatformFrame, HasThePagesBytes) {
   std::string out;
-  write(out, kFromController, Code::kCall, 0x0102030405060708, "123", "456789");
+  write(out, kControllerMagic, Code::kCall, 0x0102030405060708, "123", "456789");
   const std::string head("\x4c\x41\x00\x03\x00\x00\x00\x06\x01\x02\x03\x04\x05\x06\x07\x08", 16);
   // cbf43926 is the check value that CRC-32 is known by.
   EXPECT_EQ(out, head + "123456789" + "\xcb\xf4\x39\x26");
@@ -28,11 +28,11 @@
 
 TEST(PlatformFrame, WaitsForItsLastByte) {
   std::string out;
-  write(out, kFromInvoker, Code::kOk, 7, "ahead=1", std::string("\0body", 5));
+  write(out, kInvokerMagic, Code::kOk, 7, "ahead=1", std::string("\0body", 5));
   for (std::size_t n = 0; n < out.size(); ++n)
-    ASSERT_EQ(parse(std::string_view(out).substr(0, n), kFromInvoker).kind, ParseResult::Kind::kNeedMore)
+    ASSERT_EQ(parse(std::string_view(out).substr(0, n), kInvokerMagic).kind, ParseResult::Kind::kNeedMore)
         << n;
-  const ParseResult r = parse(out + "more", kFromInvoker);
+  const ParseResult r = parse(out + "more", kInvokerMagic);
   ASSERT_EQ(r.kind, ParseResult::Kind::kFrame);
   EXPECT_EQ(r.size, out.size());
   EXPECT_EQ(r.frame.id, 7U);
@@ -41,15 +41,15 @@
 
 TEST(PlatformFrame, AnyFlippedBitIsBadOrAnotherHead) {
   std::string out;
-  write(out, kFromInvoker, Code::kOk, 7, "ahead=1", "body");
-  for (std::size_t i = kHeadBytes; i < out.size(); ++i) {
+  write(out, kInvokerMagic, Code::kOk, 7, "ahead=1", "body");
+  for (std::size_t i = kHeaderBytes; i < out.size(); ++i) {
     std::string bad = out;
     bad[i] = static_cast<char>(bad[i] ^ 4);
-    const ParseResult r = parse(bad, kFromInvoker);
+    const ParseResult r = parse(bad, kInvokerMagic);
     EXPECT_EQ(r.kind, ParseResult::Kind::kBad) << i;
     EXPECT_EQ(r.id, 7U);
   }
-  EXPECT_EQ(parse("H", kFromInvoker).kind, ParseResult::Kind::kBad);  // at once, not at the sixteenth byte
+  EXPECT_EQ(parse("H", kInvokerMagic).kind, ParseResult::Kind::kBad);  // at once, not at the sixteenth byte
 }
 
 TEST(PlatformFrame, ALengthOverTheBoundIsBadAtItsHead) {
@@ -58,7 +58,7 @@
     head += static_cast<char>(fields >> 8), head += static_cast<char>(fields & 255);
     for (int s = 24; s >= 0; s -= 8) head += static_cast<char>(body >> s);
     head += std::string(8, '\1');
-    EXPECT_EQ(parse(head, kFromInvoker).kind, ParseResult::Kind::kBad);
+    EXPECT_EQ(parse(head, kInvokerMagic).kind, ParseResult::Kind::kBad);
   }
 }
 
@@ -79,7 +79,7 @@
 
   sim::Network net;
   PlatformInvoker invoker{net, {kAt, 20ms, 50ms, 16, "active:7;cpu:0.61;odd:x;nobody:1"}};
-  Budget budget{0, 8, 2};
+  ConnectionBudget budget{0, 8, 2};
   LinkOptions options = [] {
     LinkOptions o;
     o.load = {{"active", LoadValue::kInHand}, {"cpu", LoadValue::kBusyCores}};
@@ -230,7 +230,7 @@
 
 TEST_F(LinkTest, WhatSharesASpoiltConnectionMayHaveRun) {
   load();
-  budget.most = 0, budget.at_least = 1;  // all on one
+  budget.limit = 0, budget.reserve = 1;  // all on one
   invoker.spoil_next(Spoil::kMark);
   call(1), call(2), call(3);
   net.run_for(300ms);
@@ -279,7 +279,7 @@
   EXPECT_LT(link.rest(), 300ms);
   invoker.reset_rested(0ms);
   net.run_for(10min);
-  EXPECT_EQ(link.rest(), options.idle);
+  EXPECT_EQ(link.rest(), options.idle_timeout);
 }
 
 // Connections are reset under calls by chance, too. One that came through a longer rest tells the two apart.
@@ -294,7 +294,7 @@
   call(3);
   net.run_for(60ms);
   EXPECT_NE(outcome(3), Outcome::kOk);
-  EXPECT_EQ(link.rest(), options.idle);
+  EXPECT_EQ(link.rest(), options.idle_timeout);
 }
 
 TEST_F(LinkTest, WhatWaitsForAConnectionCanBeWithdrawn) {
@@ -357,7 +357,7 @@
   load();
   invoker.spoil_next(Spoil::kSilent);
   call(1);
-  net.run_for(options.quiet + 100ms);
+  net.run_for(options.unresponsive_after + 100ms);
   const std::size_t before = link.connections();
   call(2);
   net.run_for(100ms);
@@ -434,7 +434,7 @@
 }
 
 TEST_F(LinkTest, AnIdNeverGoesTwiceOverAConnectionWhereConnectionsAreScarce) {
-  budget.most = 1, budget.at_least = 0;
+  budget.limit = 1, budget.reserve = 0;
   invoker.answer_all(99);
   call(1, 77);
   net.run_for(50ms);
@@ -470,7 +470,7 @@
 TEST_F(LinkTest, ConnectionsStayWithinTheBudgetAndACallPastItNeverRan) {
   load();
   options.streams = 2;
-  budget.most = 3, budget.at_least = 0;
+  budget.limit = 3, budget.reserve = 0;
   for (std::uint64_t c = 1; c <= 8; ++c) call(c);
   net.run_for(200ms);
   EXPECT_LE(budget.open, 3U);
@@ -485,7 +485,7 @@
   call(1), call(2);
   net.run_for(100ms);
   EXPECT_GT(budget.open, 0U);
-  net.run_for(options.idle + 1s);
+  net.run_for(options.idle_timeout + 1s);
   EXPECT_EQ(budget.open, 0U);
   EXPECT_EQ(link.connections(), 0U);
 }
