--- a/src/apps/node.cpp
+++ b/src/apps/node.cpp
@@ -42,8 +42,8 @@
   if (!config) return spdlog::error("{}: {}", path, why), kBadConfiguration;
 
   net::Loop loop;
-  const auto say = [](node::Level level, const std::string& line) {
-    spdlog::log(level == node::Level::kWarn ? spdlog::level::warn : spdlog::level::info, "{}", line);
+  const auto say = [](node::Severity level, const std::string& line) {
+    spdlog::log(level == node::Severity::kWarn ? spdlog::level::warn : spdlog::level::info, "{}", line);
   };
   const std::string name = config->name;
   const std::string at = config->listen.text();
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -257,7 +257,7 @@
   const auto columns = stats == settings.end() ? std::vector<std::string>() : names_in(*stats, "columns");
   for (std::size_t i = 0; i < columns.size() && i < launch.columns.size(); ++i)
     if (const auto value = load_value(launch.columns[i])) c.load.emplace_back(columns[i], *value);
-  c.idle_closes =
+  c.invoker_idle_timeout =
       Duration(static_cast<Duration::rep>(at_path(settings, "bounds.keepalive_ns")->get<double>()));
   c.streams = std::max<std::size_t>(
       1, static_cast<std::size_t>(std::min(1e6, at_path(settings, "bounds.max_streams")->get<double>())));
--- a/src/node/config.h
+++ b/src/node/config.h
@@ -22,7 +22,7 @@
   std::size_t sockets = 256;
 };
 
-struct Known {  // an event of the bus
+struct KnownEvent {  // an event of the bus
   std::uint64_t number = 0;
   std::string data;
 };
@@ -32,10 +32,10 @@
   io::Address listen, bus;
   std::uint64_t seed = 1;
   Limits limits;
-  std::vector<Known> known;  // up to now, in order
+  std::vector<KnownEvent> known;  // up to now, in order
   config::Settings settings;
   std::vector<std::pair<std::string, platform::LoadValue>> load;  // what an answer's report holds
-  Duration idle_closes{};                                         // when invokers end idle connections
+  Duration invoker_idle_timeout{};                                // when invokers end idle connections
   std::size_t streams = 32;                                       // attempts that a connection carries
   std::vector<std::string> unread;                                // settings that mean nothing here
 };
--- a/src/node/intake.cpp
+++ b/src/node/intake.cpp
@@ -54,8 +54,8 @@
 
 }  // namespace
 
-Read read_call(const front::Fields& fields, std::string body, const config::Settings& settings) {
-  Read read;
+ParsedCall parse_call(const front::Fields& fields, std::string body, const config::Settings& settings) {
+  ParsedCall read;
   const auto bad = [&](std::string why) {
     read.why = std::move(why);
     return std::move(read);
--- a/src/node/intake.h
+++ b/src/node/intake.h
@@ -11,12 +11,12 @@
 
 namespace laureltide::node {
 
-struct Read {
+struct ParsedCall {
   std::optional<controller::Call> call;
   std::uint64_t id = 0;
   std::string why;  // what, and what was expected
 };
-Read read_call(const front::Fields& fields, std::string body, const config::Settings& settings);
+ParsedCall parse_call(const front::Fields& fields, std::string body, const config::Settings& settings);
 
 // The core's answer as the client's reply. `advise`: the settings let clients be told when to come back.
 front::Reply to_reply(controller::Answer answer, bool advise, Duration most_advice);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -58,7 +58,7 @@
   const laureltide::Settings& module = config.settings.module;
   if (module.bounds.dial_timeout > Duration(0)) options.dial_timeout = module.bounds.dial_timeout;
   options.quiet = 2 * options.dial_timeout;
-  options.idle = config.idle_closes * 2 / 3;
+  options.idle = config.invoker_idle_timeout * 2 / 3;
   options.streams = config.streams;
   options.load = config.load;
   options.tells_company = module.instances.tells_company;
@@ -75,7 +75,8 @@
 
 }  // namespace
 
-Node::Node(io::Host& host, Config config, std::function<void(Level, const std::string&)> say, bool log_calls)
+Node::Node(io::Host& host, Config config, std::function<void(Severity, const std::string&)> say,
+           bool log_calls)
     : host_(host),
       config_(std::move(config)),
       say_(std::move(say)),
@@ -95,7 +96,8 @@
 Node::~Node() = default;
 
 bool Node::start() {
-  for (const std::string& key : config_.unread) say_(Level::kInfo, "settings." + key + " means nothing here");
+  for (const std::string& key : config_.unread)
+    say_(Severity::kInfo, "settings." + key + " means nothing here");
   take_known(config_.known);
   list_current_until(host_.now());  // what is known is so up to the start
   if (!front_.listen(config_.listen)) return false;
@@ -151,7 +153,7 @@
          << (change.before ? members::text_of(*change.before) : "unlisted") << "->"
          << members::text_of(change.after);
   }
-  say_(Level::kInfo, line.str());
+  say_(Severity::kInfo, line.str());
 }
 
 // While all events are told again the list held lacks what made that necessary.
@@ -170,27 +172,27 @@
   };
   if (away && !std::exchange(discovery_away_, true)) {
     discovery_heard_ = heard;
-    say_(Level::kWarn, "discovery: nothing heard for " + ms(now - heard) +
-                           "; the list held is that of event " + std::to_string(roster_.last()));
+    say_(Severity::kWarn, "discovery: nothing heard for " + ms(now - heard) +
+                              "; the list held is that of event " + std::to_string(roster_.last()));
   } else if (!away && std::exchange(discovery_away_, false)) {
-    say_(Level::kInfo, "discovery: heard again after " + ms(heard - discovery_heard_) +
-                           "; the list held is that of event " + std::to_string(roster_.last()));
+    say_(Severity::kInfo, "discovery: heard again after " + ms(heard - discovery_heard_) +
+                              "; the list held is that of event " + std::to_string(roster_.last()));
   }
   const bool needed = !core_.module().list_holds(now);
   if (needed == std::exchange(leases_needed_, needed)) return;
   const LeaseCounters& leases = core_.module().lease_counters();
-  say_(Level::kInfo, std::string("leases: ") +
-                         (needed ? "workers are sent to on leases of their own from now on, asked "
-                                 : "the list is current again, asked ") +
-                         std::to_string(leases.asked) + " ready " + std::to_string(leases.ready) +
-                         " refused " + std::to_string(leases.refused) + " unanswered " +
-                         std::to_string(leases.unanswered));
+  say_(Severity::kInfo, std::string("leases: ") +
+                            (needed ? "workers are sent to on leases of their own from now on, asked "
+                                    : "the list is current again, asked ") +
+                            std::to_string(leases.asked) + " ready " + std::to_string(leases.ready) +
+                            " refused " + std::to_string(leases.refused) + " unanswered " +
+                            std::to_string(leases.unanswered));
 }
 
 // Only as far as they follow on each other and on what is held: the rest is the bus's to tell.
-bool Node::take_known(const std::vector<Known>& known) {
+bool Node::take_known(const std::vector<KnownEvent>& known) {
   bool all = true;
-  for (const Known& event : known)
+  for (const KnownEvent& event : known)
     if (!(all = !roster_.rebuilding() && take_event(event.number, event.data))) break;
   if (feed_ && !roster_.rebuilding()) feed_->skip_to(roster_.last());
   return all;
@@ -199,14 +201,14 @@
 void Node::reload(std::string_view json) {
   std::string why;
   auto fresh = parse_config(json, why);
-  if (!fresh) return say_(Level::kWarn, "reload: " + why + "; the old configuration stands");
+  if (!fresh) return say_(Severity::kWarn, "reload: " + why + "; the old configuration stands");
   const bool all = take_known(fresh->known);
-  if (fresh->bus != feed_->bus()) say_(Level::kInfo, "reload: the bus is at " + fresh->bus.text());
+  if (fresh->bus != feed_->bus()) say_(Severity::kInfo, "reload: the bus is at " + fresh->bus.text());
   if (fresh->bus != feed_->bus() || !all) feed_->move(fresh->bus);  // what is known beyond is asked for
   config_.bus = fresh->bus;
   if (fresh->listen != config_.listen || fresh->limits.sockets != config_.limits.sockets ||
       fresh->limits.memory_mb != config_.limits.memory_mb)
-    say_(Level::kWarn, "reload: another address or other limits count from the next start on");
+    say_(Severity::kWarn, "reload: another address or other limits count from the next start on");
 }
 
 // ---- Calls --------------------------------------------------------------------------------------------
@@ -223,7 +225,7 @@
 
 void Node::on_call(front::Server::Ticket ticket, front::Fields fields, std::string body) {
   using Kind = front::Reply::Kind;
-  Read read = read_call(fields, std::move(body), *settings_);
+  ParsedCall read = parse_call(fields, std::move(body), *settings_);
   if (!read.call) return turn_away(ticket, Kind::kException, std::move(read.why));
   if (ids_.contains(read.id) || ended_ids_.contains(read.id))
     return turn_away(ticket, Kind::kException, "call: an id that is open or was so just now");
@@ -288,7 +290,7 @@
   Duration longest{};
   for (const RequestClass& c : settings_->module.classes) longest = std::max(longest, c.give_up);
   killed_at_ = closes_at_ + std::min(longest, kLongestCounted);
-  say_(Level::kInfo, "ending: " + std::to_string(core_.open()) + " calls open");
+  say_(Severity::kInfo, "ending: " + std::to_string(core_.open()) + " calls open");
   drain_look_->start(kComeWithin);
 }
 
@@ -308,7 +310,7 @@
     front_.finish_idle();
     return drain_look_->start(kPartWithin);
   }
-  say_(Level::kInfo, "all answered; bye");
+  say_(Severity::kInfo, "all answered; bye");
   drained_();
 }
 
@@ -320,7 +322,7 @@
   if (it != oddities_.end()) return void(++it->second);
   if (oddities_.size() >= kMostOddities) return;
   oddities_[kind] = 1;
-  say_(Level::kWarn, what);
+  say_(Severity::kWarn, what);
 }
 void Node::on_oddity(const std::string& what) { odd(what); }
 void Node::on_log(const std::string& line) { odd("module: " + line); }
@@ -335,7 +337,7 @@
        << (ended.attempts.empty() ? "none" : ended.attempts) << " took_ms "
        << std::chrono::duration_cast<std::chrono::milliseconds>(ended.took).count();
   if (ended.answer.kind != controller::Answer::Kind::kServed) line << " why " << ended.answer.reason;
-  say_(Level::kInfo, line.str());
+  say_(Severity::kInfo, line.str());
 }
 
 // A call that may not simply run twice and left more than once: why it could, and over which connections.
@@ -348,7 +350,7 @@
   line << "repeat: call " << ended.call.name << " class " << settings_->class_names[function.request_class];
   if (!ended.call.key.empty()) line << " key " << ended.call.key;
   line << " end " << ended.end << " attempts " << ended.trace;
-  say_(Level::kInfo, line.str());
+  say_(Severity::kInfo, line.str());
 }
 
 void Node::second() {
@@ -394,9 +396,9 @@
        << " list_current=" << (core_.module().list_holds(host_.now()) ? 1 : 0);
   line << " late_ms=" << std::chrono::duration_cast<std::chrono::milliseconds>(worst_lateness_).count();
   worst_lateness_ = {};
-  say_(Level::kInfo, line.str());
+  say_(Severity::kInfo, line.str());
   for (auto& [kind, count] : oddities_)
-    if (count > 1) say_(Level::kInfo, std::to_string(count) + " times: " + kind);
+    if (count > 1) say_(Severity::kInfo, std::to_string(count) + " times: " + kind);
 }
 
 }  // namespace laureltide::node
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -21,12 +21,12 @@
 
 namespace laureltide::node {
 
-enum class Level { kInfo, kWarn };
+enum class Severity { kInfo, kWarn };
 
 class Node : public controller::CoreEvents, public front::Server::Events {
  public:
   // `log_calls`: a line for each call that ends, with its attempts.
-  Node(io::Host& host, Config config, std::function<void(Level, const std::string&)> say,
+  Node(io::Host& host, Config config, std::function<void(Severity, const std::string&)> say,
        bool log_calls = false);
   ~Node() override;
 
@@ -43,7 +43,7 @@
   io::Address address() const { return front_.address(); }
   std::size_t clients() const { return front_.connections(); }
   std::size_t ids() const { return tickets_.size() + ended_.size(); }
-  std::size_t held_bytes() const { return held_bytes_; }
+  std::size_t open_body_bytes() const { return held_bytes_; }
   std::size_t unsent() const { return front_.unsent(); }
 
   // ---- front::Server::Events ----
@@ -64,7 +64,7 @@
     std::size_t bytes = 0;
   };
   bool take_event(std::uint64_t number, std::string_view data);
-  bool take_known(const std::vector<Known>& known);  // false: not all of it could be taken
+  bool take_known(const std::vector<KnownEvent>& known);  // false: not all of it could be taken
   void turn_away(front::Server::Ticket ticket, front::Reply::Kind kind, std::string why);
   void close(front::Server::Ticket ticket);
   void forget_ended(Time before, std::size_t most);
@@ -79,7 +79,7 @@
 
   io::Host& host_;
   Config config_;
-  std::function<void(Level, const std::string&)> say_;
+  std::function<void(Severity, const std::string&)> say_;
   bool log_calls_;
   std::shared_ptr<const config::Settings> settings_;
   platform::LinkOptions link_options_;
--- a/tests/node/crossings_test.cpp
+++ b/tests/node/crossings_test.cpp
@@ -189,7 +189,7 @@
   void start() {
     doc["known"] = json::parse(bus.known());
     node = std::make_unique<Node>(loop, tests::parsed(doc),
-                                  [this](Level, const std::string& l) { lines.push_back(l); });
+                                  [this](Severity, const std::string& l) { lines.push_back(l); });
     ASSERT_TRUE(node->start());
   }
   bool run_until(const std::function<bool()>& done, Duration most = 10s) {
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -94,7 +94,7 @@
 
 TEST(NodeIntake, ACallBringsItsFunctionsFacts) {
   const Config c = parsed(config());
-  const Read r = read_call(good_fields(), "body", c.settings);
+  const ParsedCall r = parse_call(good_fields(), "body", c.settings);
   ASSERT_TRUE(r.call) << r.why;
   EXPECT_EQ(r.id, 0xa1U);
   EXPECT_EQ(r.call->function->id, FunctionId{0xf1});
@@ -122,20 +122,20 @@
     for (const std::string& value : values) {
       front::Fields fields = good_fields();
       fields[name] = value;
-      const Read r = read_call(fields, "", c.settings);
+      const ParsedCall r = parse_call(fields, "", c.settings);
       EXPECT_FALSE(r.call) << name << "=" << value;
       EXPECT_EQ(r.why.substr(0, std::strlen(name)), name) << value;
     }
     front::Fields fields = good_fields();
     fields.erase(name);
     const bool optional = std::string(name) == "work" || std::string(name) == "more";
-    EXPECT_EQ(read_call(fields, "", c.settings).call.has_value(), optional) << name;
+    EXPECT_EQ(parse_call(fields, "", c.settings).call.has_value(), optional) << name;
   }
   front::Fields unkeyed = good_fields();
   unkeyed["op"] = "read", unkeyed.erase("dedupe");
-  EXPECT_TRUE(read_call(unkeyed, "", c.settings).call);
+  EXPECT_TRUE(parse_call(unkeyed, "", c.settings).call);
   unkeyed["dedupe"] = "a,w=9";  // it would pass on as another field
-  EXPECT_FALSE(read_call(unkeyed, "", c.settings).call);
+  EXPECT_FALSE(parse_call(unkeyed, "", c.settings).call);
 }
 
 TEST(NodeIntake, PushbackIsSaidWhereSettingsAllow) {
@@ -174,7 +174,7 @@
   }
   void start(const json& doc) {
     node = std::make_unique<Node>(net, parsed(doc),
-                                  [this](Level, const std::string& line) { lines.push_back(line); });
+                                  [this](Severity, const std::string& line) { lines.push_back(line); });
     ASSERT_TRUE(node->start());
   }
   PlatformInvoker& invoker(int i) { return *invokers[static_cast<std::size_t>(i - 1)]; }
@@ -231,7 +231,7 @@
   }
   EXPECT_GT(served, numbers.size() * 8 / 10);
   EXPECT_EQ(node->core().open(), 0U);
-  EXPECT_EQ(node->held_bytes(), 0U);
+  EXPECT_EQ(node->open_body_bytes(), 0U);
 }
 
 TEST_F(NodeTest, AnOnceCallThatMayHaveRunIsNotRepeated) {
@@ -436,7 +436,7 @@
 TEST_F(NodeTest, EndsOfCallsAreCountedByTheirKindAndLoggedWhenAskedFor) {
   node.reset();
   node = std::make_unique<Node>(
-      net, parsed(config(bus.known())), [this](Level, const std::string& line) { lines.push_back(line); },
+      net, parsed(config(bus.known())), [this](Severity, const std::string& line) { lines.push_back(line); },
       true);
   ASSERT_TRUE(node->start());
   PlatformClient client(net, kListen);
@@ -573,7 +573,7 @@
     EXPECT_EQ(s.open, 0U);
     EXPECT_EQ(s.orders, 0U);
     return std::array<std::size_t, 7>{
-        s.names, s.ports, s.members, s.alarms, node->ids(), node->roster().names(), node->held_bytes()};
+        s.names, s.ports, s.members, s.alarms, node->ids(), node->roster().names(), node->open_body_bytes()};
   };
   const auto few = play(5), many = play(50);
   EXPECT_EQ(few, many);
@@ -592,7 +592,7 @@
   for (int i = 0; i < 450; ++i) {
     front::Fields f = fields();
     f["row"] = platform::id_text(0x10'000ULL + static_cast<std::uint64_t>(i));
-    Read r = read_call(f, "", core.settings());
+    ParsedCall r = parse_call(f, "", core.settings());
     core.take(std::move(*r.call), [](controller::Answer) {});
     EXPECT_LE(core.sizes().names, 100U);
     if (i % 7 == 0) net.run_for(1ms);
@@ -609,7 +609,7 @@
   PlatformClient client(net, kListen);
   for (int i = 0; i < 30; ++i) client.call(fields(), std::string(16 << 10, 'x'));
   net.run_for(30ms);
-  EXPECT_LE(node->held_bytes(), 256U << 10);
+  EXPECT_LE(node->open_body_bytes(), 256U << 10);
   std::size_t refused = 0;
   for (const auto& [n, reply] : client.replies()) refused += reply.kind == "refused";
   EXPECT_EQ(refused, 14U);
--- a/tests/node/outage_test.cpp
+++ b/tests/node/outage_test.cpp
@@ -78,7 +78,7 @@
   }
   void start() {
     node = std::make_unique<Node>(net, tests::parsed(doc),
-                                  [this](Level, const std::string& line) { lines.push_back(line); });
+                                  [this](Severity, const std::string& line) { lines.push_back(line); });
     ASSERT_TRUE(node->start());
     client = std::make_unique<PlatformClient>(net, kListen);
   }
--- a/tests/node/repeat_window_test.cpp
+++ b/tests/node/repeat_window_test.cpp
@@ -44,7 +44,7 @@
       c["give_up_ns"] = Duration(3s).count();
       c["window_ns"] = kWindow.count();
     }
-    node = std::make_unique<Node>(net, tests::parsed(doc), [](Level, const std::string&) {});
+    node = std::make_unique<Node>(net, tests::parsed(doc), [](Severity, const std::string&) {});
     ASSERT_TRUE(node->start());
     client = std::make_unique<PlatformClient>(net, kListen);
     net.run_for(50ms);
