--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -572,8 +572,12 @@
     const auto s = node->core().sizes();
     EXPECT_EQ(s.open, 0U);
     EXPECT_EQ(s.orders, 0U);
-    return std::array<std::size_t, 7>{s.names,           s.worker_links, s.members,
-                                      s.pending_timers,  node->ids(),    node->roster().names(),
+    return std::array<std::size_t, 7>{s.names,
+                                      s.worker_links,
+                                      s.members,
+                                      s.pending_timers,
+                                      node->ids(),
+                                      node->roster().names(),
                                       node->open_body_bytes()};
   };
   const auto few = play(5), many = play(50);
