--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -44,7 +44,7 @@
 }
 
 controller::Core::Options core_options(const Config& config, const platform::LinkOptions& links,
-                                       platform::Budget& budget, io::Host& host) {
+                                       platform::ConnectionBudget& budget, io::Host& host) {
   controller::Core::Options options;
   options.seed = config.seed;
   options.port = [&links, &budget, &host](WorkerId id, const io::Address& at, worker::LinkEvents& events) {
@@ -57,11 +57,11 @@
   platform::LinkOptions options;
   const laureltide::Settings& module = config.settings.module;
   if (module.bounds.dial_timeout > Duration(0)) options.dial_timeout = module.bounds.dial_timeout;
-  options.quiet = 2 * options.dial_timeout;
-  options.idle = config.idle_closes * 2 / 3;
+  options.unresponsive_after = 2 * options.dial_timeout;
+  options.idle_timeout = config.invoker_idle_timeout * 2 / 3;
   options.streams = config.streams;
   options.load = config.load;
-  options.tells_company = module.instances.tells_company;
+  options.reports_others_in_flight = module.instances.reports_others_in_flight;
   return options;
 }
 
@@ -75,7 +75,8 @@
 
 }  // namespace
 
-Node::Node(io::Host& host, Config config, std::function<void(Level, const std::string&)> say, bool log_calls)
+Node::Node(io::Host& host, Config config, std::function<void(Severity, const std::string&)> say,
+           bool log_calls)
     : host_(host),
       config_(std::move(config)),
       say_(std::move(say)),
@@ -86,25 +87,26 @@
       front_(host, front_options(config_), *this),
       second_(host.timer([this] { second(); })),
       drain_look_(host.timer([this] { look_at_drain(); })) {
-  budget_.most = of_rest(config_.limits, 1 - kClientsShare);
-  budget_.at_least = budget_.most / 4;
-  budget_.most -= budget_.at_least;
+  budget_.limit = of_rest(config_.limits, 1 - kClientsShare);
+  budget_.reserve = budget_.limit / 4;
+  budget_.limit -= budget_.reserve;
   most_held_bytes_ =
       static_cast<std::size_t>(kHeldShare * static_cast<double>(config_.limits.memory_mb << 20));
 }
 Node::~Node() = default;
 
 bool Node::start() {
-  for (const std::string& key : config_.unread) say_(Level::kInfo, "settings." + key + " means nothing here");
+  for (const std::string& key : config_.unread)
+    say_(Severity::kInfo, "settings." + key + " means nothing here");
   take_known(config_.known);
   list_current_until(host_.now());  // what is known is so up to the start
   if (!front_.listen(config_.listen)) return false;
-  feed_ = std::make_unique<platform::Follower>(
-      host_, config_.bus, roster_.last(), platform::Follower::Options{},
+  feed_ = std::make_unique<platform::EventSubscriber>(
+      host_, config_.bus, roster_.last(), platform::EventSubscriber::Options{},
       [this](const platform::Event& event) { return take_event(event.id, event.data); },
       [this](const std::string& why) { odd("event bus: " + why); });
-  feed_->on_current([this](Time at) { list_current_until(at); });
-  core_.on_gap = [] {};  // events are numbered: a gap shows before the core could see it
+  feed_->on_current_until([this](Time at) { list_current_until(at); });
+  core_.on_worker_list_gap = [] {};  // events are numbered: a gap shows before the core could see it
   second_due_ = host_.now() + std::chrono::seconds(1);
   second_->start(std::chrono::seconds(1));
   return true;
@@ -113,8 +115,8 @@
 // ---- The list -----------------------------------------------------------------------------------------
 
 bool Node::take_event(std::uint64_t number, std::string_view data) {
-  using Verdict = platform::Roster::Verdict;
-  platform::Roster::Taken taken = roster_.take(number, data);
+  using Verdict = platform::InvokerList::Verdict;
+  platform::InvokerList::ApplyResult taken = roster_.take(number, data);
   if (taken.verdict == Verdict::kGap || taken.verdict == Verdict::kBad) {
     const bool again = std::exchange(missing_at_, number) == number;
     odd("event bus: event " + std::to_string(number) + ": " +
@@ -122,27 +124,27 @@
         (again ? "; all events are asked for" : "; asked for again"));
     // It may tell of a drain, so it is never just passed over.
     if (again && feed_) {
-      roster_.rebuild(number);
-      feed_->ask_from(0);
+      roster_.start_replay(number);
+      feed_->resume_from(0);
     }
     return false;
   }
   if (!taken.why.empty()) odd("event bus: an event that cannot be read in full: " + taken.why);
-  if (taken.verdict != Verdict::kTaken) return true;
+  if (taken.verdict != Verdict::kApplied) return true;
   say_changes(number, taken.changes);
   taken.update.from = core_.list().version();
-  core_.take_list(taken.update);
+  core_.apply_worker_list(taken.update);
   return true;
 }
 
 // One line an event: the first workers by name, all of them by number.
-void Node::say_changes(std::uint64_t event, const std::vector<platform::Roster::Change>& changes) {
+void Node::say_changes(std::uint64_t event, const std::vector<platform::InvokerList::Change>& changes) {
   if (changes.empty()) return;
   std::ostringstream line;
   line << "list: event " << event << " changes " << changes.size() << " of " << roster_.names()
        << " workers:";
   std::size_t named = 0;
-  for (const platform::Roster::Change& change : changes) {
+  for (const platform::InvokerList::Change& change : changes) {
     if (++named > kMostChangesNamed) {
       line << " ...";
       break;
@@ -151,18 +153,18 @@
          << (change.before ? members::text_of(*change.before) : "unlisted") << "->"
          << members::text_of(change.after);
   }
-  say_(Level::kInfo, line.str());
+  say_(Severity::kInfo, line.str());
 }
 
 // While all events are told again the list held lacks what made that necessary.
 void Node::list_current_until(Time at) {
-  if (roster_.rebuilding() && at > current_until_) return;
+  if (roster_.replaying() && at > current_until_) return;
   current_until_ = at;
   core_.list_current_until(at);
 }
 
 void Node::look_at_discovery() {
-  const Time heard = feed_->heard_at();
+  const Time heard = feed_->last_line_at();
   const Time now = host_.now();
   const bool away = now - heard > kDiscoveryAwayAfter;
   const auto ms = [](Duration d) {
@@ -170,43 +172,43 @@
   };
   if (away && !std::exchange(discovery_away_, true)) {
     discovery_heard_ = heard;
-    say_(Level::kWarn, "discovery: nothing heard for " + ms(now - heard) +
-                           "; the list held is that of event " + std::to_string(roster_.last()));
+    say_(Severity::kWarn, "discovery: nothing heard for " + ms(now - heard) +
+                              "; the list held is that of event " + std::to_string(roster_.last()));
   } else if (!away && std::exchange(discovery_away_, false)) {
-    say_(Level::kInfo, "discovery: heard again after " + ms(heard - discovery_heard_) +
-                           "; the list held is that of event " + std::to_string(roster_.last()));
+    say_(Severity::kInfo, "discovery: heard again after " + ms(heard - discovery_heard_) +
+                              "; the list held is that of event " + std::to_string(roster_.last()));
   }
-  const bool needed = !core_.module().list_holds(now);
+  const bool needed = !core_.module().list_is_valid(now);
   if (needed == std::exchange(leases_needed_, needed)) return;
   const LeaseCounters& leases = core_.module().lease_counters();
-  say_(Level::kInfo, std::string("leases: ") +
-                         (needed ? "workers are sent to on leases of their own from now on, asked "
-                                 : "the list is current again, asked ") +
-                         std::to_string(leases.asked) + " ready " + std::to_string(leases.ready) +
-                         " refused " + std::to_string(leases.refused) + " unanswered " +
-                         std::to_string(leases.unanswered));
+  say_(Severity::kInfo, std::string("leases: ") +
+                            (needed ? "workers are sent to on leases of their own from now on, asked "
+                                    : "the list is current again, asked ") +
+                            std::to_string(leases.asked) + " ready " + std::to_string(leases.ready) +
+                            " refused " + std::to_string(leases.refused) + " unanswered " +
+                            std::to_string(leases.unanswered));
 }
 
 // Only as far as they follow on each other and on what is held: the rest is the bus's to tell.
-bool Node::take_known(const std::vector<Known>& known) {
+bool Node::take_known(const std::vector<KnownEvent>& known) {
   bool all = true;
-  for (const Known& event : known)
-    if (!(all = !roster_.rebuilding() && take_event(event.number, event.data))) break;
-  if (feed_ && !roster_.rebuilding()) feed_->skip_to(roster_.last());
+  for (const KnownEvent& event : known)
+    if (!(all = !roster_.replaying() && take_event(event.number, event.data))) break;
+  if (feed_ && !roster_.replaying()) feed_->skip_to(roster_.last());
   return all;
 }
 
 void Node::reload(std::string_view json) {
   std::string why;
   auto fresh = parse_config(json, why);
-  if (!fresh) return say_(Level::kWarn, "reload: " + why + "; the old configuration stands");
+  if (!fresh) return say_(Severity::kWarn, "reload: " + why + "; the old configuration stands");
   const bool all = take_known(fresh->known);
-  if (fresh->bus != feed_->bus()) say_(Level::kInfo, "reload: the bus is at " + fresh->bus.text());
+  if (fresh->bus != feed_->bus()) say_(Severity::kInfo, "reload: the bus is at " + fresh->bus.text());
   if (fresh->bus != feed_->bus() || !all) feed_->move(fresh->bus);  // what is known beyond is asked for
   config_.bus = fresh->bus;
   if (fresh->listen != config_.listen || fresh->limits.sockets != config_.limits.sockets ||
       fresh->limits.memory_mb != config_.limits.memory_mb)
-    say_(Level::kWarn, "reload: another address or other limits count from the next start on");
+    say_(Severity::kWarn, "reload: another address or other limits count from the next start on");
 }
 
 // ---- Calls --------------------------------------------------------------------------------------------
@@ -223,13 +225,13 @@
 
 void Node::on_call(front::Server::Ticket ticket, front::Fields fields, std::string body) {
   using Kind = front::Reply::Kind;
-  Read read = read_call(fields, std::move(body), *settings_);
+  ParsedCall read = parse_call(fields, std::move(body), *settings_);
   if (!read.call) return turn_away(ticket, Kind::kException, std::move(read.why));
   if (ids_.contains(read.id) || ended_ids_.contains(read.id))
     return turn_away(ticket, Kind::kException, "call: an id that is open or was so just now");
   if (drained_) {  // answered before the kill, however late it was read
     const Duration left = killed_at_ - host_.now();
-    read.call->patience = std::min(read.call->patience.value_or(left), left);
+    read.call->timeout = std::min(read.call->timeout.value_or(left), left);
   }
   const bool closed = drained_ && host_.now() >= closes_at_ + kReadLate;
   const std::size_t bytes = read.call->body.size();
@@ -288,7 +290,7 @@
   Duration longest{};
   for (const RequestClass& c : settings_->module.classes) longest = std::max(longest, c.give_up);
   killed_at_ = closes_at_ + std::min(longest, kLongestCounted);
-  say_(Level::kInfo, "ending: " + std::to_string(core_.open()) + " calls open");
+  say_(Severity::kInfo, "ending: " + std::to_string(core_.open()) + " calls open");
   drain_look_->start(kComeWithin);
 }
 
@@ -308,7 +310,7 @@
     front_.finish_idle();
     return drain_look_->start(kPartWithin);
   }
-  say_(Level::kInfo, "all answered; bye");
+  say_(Severity::kInfo, "all answered; bye");
   drained_();
 }
 
@@ -320,12 +322,12 @@
   if (it != oddities_.end()) return void(++it->second);
   if (oddities_.size() >= kMostOddities) return;
   oddities_[kind] = 1;
-  say_(Level::kWarn, what);
+  say_(Severity::kWarn, what);
 }
 void Node::on_oddity(const std::string& what) { odd(what); }
 void Node::on_log(const std::string& line) { odd("module: " + line); }
 // A line a call is more than the log's share of the memory, so it is off unless asked for.
-void Node::on_ended(const controller::Ended& ended) {
+void Node::on_call_finished(const controller::CallSummary& ended) {
   ++ends_[ended.end];
   say_repeat(ended);
   if (!log_calls_) return;
@@ -335,20 +337,20 @@
        << (ended.attempts.empty() ? "none" : ended.attempts) << " took_ms "
        << std::chrono::duration_cast<std::chrono::milliseconds>(ended.took).count();
   if (ended.answer.kind != controller::Answer::Kind::kServed) line << " why " << ended.answer.reason;
-  say_(Level::kInfo, line.str());
+  say_(Severity::kInfo, line.str());
 }
 
 // A call that may not simply run twice and left more than once: why it could, and over which connections.
-void Node::say_repeat(const controller::Ended& ended) {
+void Node::say_repeat(const controller::CallSummary& ended) {
   const config::Function& function = *ended.call.function;
   const RequestClass& request_class = settings_->module.classes[function.request_class];
-  if (ended.left < 2 || request_class.semantics == Semantics::kRepeatable) return;
+  if (ended.sent_attempts < 2 || request_class.semantics == Semantics::kRepeatable) return;
   if (++repeats_ > kMostRepeatsLogged) return;
   std::ostringstream line;
   line << "repeat: call " << ended.call.name << " class " << settings_->class_names[function.request_class];
   if (!ended.call.key.empty()) line << " key " << ended.call.key;
   line << " end " << ended.end << " attempts " << ended.trace;
-  say_(Level::kInfo, line.str());
+  say_(Severity::kInfo, line.str());
 }
 
 void Node::second() {
@@ -356,7 +358,7 @@
   worst_lateness_ = std::max(worst_lateness_, now - second_due_);
   second_due_ = now + std::chrono::seconds(1);
   second_->start(std::chrono::seconds(1));
-  core_.tidy();
+  core_.discard_unused();
   look_at_discovery();
   forget_ended(now - kEndedFor, kMostEnded);
   if (++seconds_ % kStatsEvery == 0) say_stats();
@@ -367,10 +369,10 @@
   const controller::Core::Sizes sizes = core_.sizes();
   std::ostringstream line;
   line << "stats taken=" << c.taken << " served=" << c.served << " refused=" << c.refused
-       << " failed=" << c.failed << " abandoned=" << c.abandoned << " turned_away=" << c.turned_away
+       << " failed=" << c.failed << " abandoned=" << c.abandoned << " turned_away=" << c.rejected
        << " attempts=" << c.attempts << " holds=" << c.holds << " probes=" << c.probes
        << " open=" << sizes.open << " clients=" << front_.connections() << " to_invokers=" << budget_.open
-       << " names=" << sizes.names << " members=" << sizes.members << " alarms=" << sizes.alarms
+       << " names=" << sizes.names << " members=" << sizes.members << " alarms=" << sizes.pending_timers
        << " attempts_ended=";
   for (std::size_t i = 0; i < c.ended.size(); ++i)
     line << (i ? "," : "") << controller::text_of(static_cast<Outcome>(i)) << ':' << c.ended[i];
@@ -387,16 +389,16 @@
     first = false;
   }
   line << " list_event=" << roster_.last() << " discovery_heard_ms_ago="
-       << std::chrono::duration_cast<std::chrono::milliseconds>(host_.now() - feed_->heard_at()).count();
+       << std::chrono::duration_cast<std::chrono::milliseconds>(host_.now() - feed_->last_line_at()).count();
   const LeaseCounters& leases = core_.module().lease_counters();
   line << " leases=asked:" << leases.asked << ",ready:" << leases.ready << ",refused:" << leases.refused
        << ",unanswered:" << leases.unanswered
-       << " list_current=" << (core_.module().list_holds(host_.now()) ? 1 : 0);
+       << " list_current=" << (core_.module().list_is_valid(host_.now()) ? 1 : 0);
   line << " late_ms=" << std::chrono::duration_cast<std::chrono::milliseconds>(worst_lateness_).count();
   worst_lateness_ = {};
-  say_(Level::kInfo, line.str());
+  say_(Severity::kInfo, line.str());
   for (auto& [kind, count] : oddities_)
-    if (count > 1) say_(Level::kInfo, std::to_string(count) + " times: " + kind);
+    if (count > 1) say_(Severity::kInfo, std::to_string(count) + " times: " + kind);
 }
 
 }  // namespace laureltide::node
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -17,16 +17,16 @@
 #include "front/server.h"
 #include "node/config.h"
 #include "platform/feed.h"
-#include "platform/roster.h"
+#include "platform/invoker_list.h"
 
 namespace laureltide::node {
 
-enum class Level { kInfo, kWarn };
+enum class Severity { kInfo, kWarn };
 
 class Node : public controller::CoreEvents, public front::Server::Events {
  public:
   // `log_calls`: a line for each call that ends, with its attempts.
-  Node(io::Host& host, Config config, std::function<void(Level, const std::string&)> say,
+  Node(io::Host& host, Config config, std::function<void(Severity, const std::string&)> say,
        bool log_calls = false);
   ~Node() override;
 
@@ -38,12 +38,12 @@
   void drain(std::function<void()> done);
 
   controller::Core& core() { return core_; }
-  const platform::Roster& roster() const { return roster_; }
-  const platform::Follower& feed() const { return *feed_; }
+  const platform::InvokerList& roster() const { return roster_; }
+  const platform::EventSubscriber& feed() const { return *feed_; }
   io::Address address() const { return front_.address(); }
   std::size_t clients() const { return front_.connections(); }
   std::size_t ids() const { return tickets_.size() + ended_.size(); }
-  std::size_t held_bytes() const { return held_bytes_; }
+  std::size_t open_body_bytes() const { return held_bytes_; }
   std::size_t unsent() const { return front_.unsent(); }
 
   // ---- front::Server::Events ----
@@ -53,9 +53,9 @@
   void on_oddity(const std::string& what) override;
 
   // ---- controller::CoreEvents ----
-  void on_ended(const controller::Ended& ended) override;
+  void on_call_finished(const controller::CallSummary& ended) override;
   void on_log(const std::string& line) override;
-  void on_tell(std::optional<std::uint32_t>, std::span<const std::byte>) override {}  // no peers here
+  void on_send_to_peer(std::optional<std::uint32_t>, std::span<const std::byte>) override {}  // no peers here
 
  private:
   struct Open {
@@ -64,30 +64,30 @@
     std::size_t bytes = 0;
   };
   bool take_event(std::uint64_t number, std::string_view data);
-  bool take_known(const std::vector<Known>& known);  // false: not all of it could be taken
+  bool take_known(const std::vector<KnownEvent>& known);  // false: not all of it could be taken
   void turn_away(front::Server::Ticket ticket, front::Reply::Kind kind, std::string why);
   void close(front::Server::Ticket ticket);
   void forget_ended(Time before, std::size_t most);
   void odd(const std::string& what);
   void second();
   void say_stats();
-  void say_repeat(const controller::Ended& ended);
-  void say_changes(std::uint64_t event, const std::vector<platform::Roster::Change>& changes);
+  void say_repeat(const controller::CallSummary& ended);
+  void say_changes(std::uint64_t event, const std::vector<platform::InvokerList::Change>& changes);
   void look_at_discovery();
   void list_current_until(Time at);
   void look_at_drain();
 
   io::Host& host_;
   Config config_;
-  std::function<void(Level, const std::string&)> say_;
+  std::function<void(Severity, const std::string&)> say_;
   bool log_calls_;
   std::shared_ptr<const config::Settings> settings_;
   platform::LinkOptions link_options_;
-  platform::Budget budget_;
-  platform::Roster roster_;
+  platform::ConnectionBudget budget_;
+  platform::InvokerList roster_;
   controller::Core core_;
   front::Server front_;
-  std::unique_ptr<platform::Follower> feed_;
+  std::unique_ptr<platform::EventSubscriber> feed_;
   std::unordered_map<front::Server::Ticket, Open> tickets_;
   std::unordered_map<std::uint64_t, front::Server::Ticket> ids_;  // of open calls
   // Of calls that ended not long ago: an id is new with every request, so one that comes again is no call,
--- a/src/wire/host.cpp
+++ b/src/wire/host.cpp
@@ -27,7 +27,7 @@
     case OutcomeCode::kConnectFailed: return Outcome::kConnectFailed;
     case OutcomeCode::kReset: return Outcome::kReset;
     case OutcomeCode::kCancelled: return Outcome::kCancelled;
-    case OutcomeCode::kNotRun: return Outcome::kMoot;
+    case OutcomeCode::kNotRun: return Outcome::kNotRun;
     case OutcomeCode::kMiss: return Outcome::kMiss;
   }
   in.fail("unknown outcome code");
@@ -39,7 +39,7 @@
     case 2: return Found::kBeganLoad;
     case 3: return Found::kAwaitedLoad;
     case 4: return Found::kLoadFailed;
-    default: return Found::kUntold;
+    default: return Found::kNotReported;
   }
 }
 
@@ -49,13 +49,13 @@
   for (std::size_t i = 0; i < count; ++i) {
     const float value = in.f32();
     switch (i < columns.size() ? columns[i] : ReportColumn::kUnknown) {
-      case ReportColumn::kInFlight: report.in_hand = value; break;
+      case ReportColumn::kInFlight: report.in_progress = value; break;
       case ReportColumn::kWaiting: report.waiting = value; break;
       case ReportColumn::kBusyCores: report.busy_cores = value; break;
       case ReportColumn::kRunMs: report.run_ms = value; break;
       case ReportColumn::kServed: report.served_per_s = value; break;
       case ReportColumn::kErrors: report.errors_per_s = value; break;
-      case ReportColumn::kMemory: report.memory_at_work = value; break;
+      case ReportColumn::kMemory: report.memory_in_use = value; break;
       case ReportColumn::kLoads: report.loads = value; break;
       case ReportColumn::kUnknown: break;
     }
@@ -125,14 +125,14 @@
   void probe(WorkerId worker) override {
     begin_record(ActionCode::kProbe).u32(static_cast<std::uint32_t>(worker));
   }
-  void wake(Duration delay, TimerToken token) override {
+  void start_timer(Duration delay, TimerToken token) override {
     Writer& record = begin_record(ActionCode::kWake);
     record.u64(to_nanoseconds(delay));
     record.u64(token);
   }
   void subscribe(bool enable) override { begin_record(ActionCode::kSubscribe).u8(enable ? 1 : 0); }
   void fetch_list() override { begin_record(ActionCode::kFetchList); }
-  void tell(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) override {
+  void send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) override {
     Writer& record = begin_record(ActionCode::kSendToPeer);
     record.u32(peer.value_or(kAllPeers));
     record.u16(static_cast<std::uint16_t>(bytes.size()));
@@ -240,7 +240,7 @@
       request.memory_mb = in.f32();
       const std::uint8_t flags = in.u8();
       if (flags & kWorkHintValid) request.work_hint = to_duration(hint);
-      request.client_repeat = flags & kClientRepeat;
+      request.is_client_retry = flags & kClientRepeat;
       request.write = flags & kIsWrite;
       request.function = static_cast<FunctionId>(in.u64());
       return target.dispatcher.on(now, request);
@@ -267,9 +267,9 @@
       result.terminal = in.u8() != 0;
       result.took = to_duration(in.u64());
       result.found = to_found(info & kFoundMask);
-      if (target.settings.instances.tells_company &&
+      if (target.settings.instances.reports_others_in_flight &&
           (result.outcome == Outcome::kOk || result.outcome == Outcome::kFull))
-        result.company = info >> kOtherRequestsShift;
+        result.others_in_flight = info >> kOtherRequestsShift;
       result.report = read_load_report(in, target.columns);
       return target.dispatcher.on(now, result);
     }
--- a/src/wire/settings.cpp
+++ b/src/wire/settings.cpp
@@ -124,7 +124,7 @@
   RequestClass request_class;
   request_class.worth = pairs.number(prefix + "worth", 1);
   request_class.late_worth = pairs.number(prefix + "late_worth", 0);
-  request_class.aim_stretch = pairs.number(prefix + "aim_stretch", 0);
+  request_class.target_stretch = pairs.number(prefix + "aim_stretch", 0);
   request_class.target = pairs.duration(prefix + "target_ns");
   request_class.give_up = pairs.duration(prefix + "give_up_ns");
   request_class.semantics = choice(
@@ -179,8 +179,8 @@
   settings.instances.orders = pairs.flag("family_info.orders", false);
   settings.instances.on_miss = choice(pairs, "family_info.miss_mode", MissMode::kLoad,
                                       {{"load", MissMode::kLoad}, {"miss", MissMode::kMiss}});
-  settings.instances.tells_warm = pairs.flag("family_info.tells_warm", false);
-  settings.instances.tells_company = pairs.flag("family_info.says_company", false);
+  settings.instances.reports_instance_found = pairs.flag("family_info.tells_warm", false);
+  settings.instances.reports_others_in_flight = pairs.flag("family_info.says_company", false);
   settings.instances.keep_alive = pairs.duration("family_info.idle_life_ns");
   for (std::string_view size : pairs.list("family_info.ram_mb_by_kind"))
     settings.instances.memory_mb_by_kind.push_back(
@@ -190,22 +190,22 @@
   settings.instances.order_window = pairs.duration("family_info.load_window_ns");
   settings.instances.order_timeout = pairs.duration("family_info.load_wait_ns");
   settings.instances.idle_memory_cost = pairs.number("family_info.idle_memory_cost", 0);
-  settings.rules.cold_from = pairs.number("rules.cold_from", 1);
-  settings.rules.cold_for = pairs.duration("rules.cold_ns");
-  settings.rules.fall_multiple = pairs.number("rules.fall_multiple", 1);
-  settings.rules.overload_for = pairs.duration("rules.overload_for_ns");
+  settings.rules.cold_capacity_share = pairs.number("rules.cold_from", 1);
+  settings.rules.cold_duration = pairs.duration("rules.cold_ns");
+  settings.rules.overload_multiple = pairs.number("rules.fall_multiple", 1);
+  settings.rules.overload_duration = pairs.duration("rules.overload_for_ns");
   settings.rules.drain_grace = pairs.duration("rules.drain_grace_ns");
   settings.rules.answer_grace = pairs.duration("rules.grace_to_answer_ns");
   settings.rules.ask_within = pairs.duration("rules.ask_within_ns");
-  settings.list_must_be_asked = choice(pairs, "discovery", false, {{"push", false}, {"ask", true}});
+  settings.list_needs_subscription = choice(pairs, "discovery", false, {{"push", false}, {"ask", true}});
   settings.worth_by_work = choice(pairs, "counted_by", false, {{"request", false}, {"work", true}});
   settings.over_share_worth = pairs.number("over_share_worth", 1);
-  settings.waste_price = pairs.number("deductions.waste", 0);
-  settings.late_fail_price = pairs.number("deductions.late_fail", 0);
-  settings.fetch_price = pairs.number("deductions.origin", 0);
-  settings.order_price = pairs.number("deductions.probe", 0);
+  settings.waste_cost = pairs.number("deductions.waste", 0);
+  settings.late_failure_cost = pairs.number("deductions.late_fail", 0);
+  settings.fetch_cost = pairs.number("deductions.origin", 0);
+  settings.order_cost = pairs.number("deductions.probe", 0);
   settings.tick = pairs.duration("tick_ns");
-  settings.me = static_cast<std::uint32_t>(pairs.whole_number("me", 0));
+  settings.replica_index = static_cast<std::uint32_t>(pairs.whole_number("me", 0));
   settings.replicas = static_cast<std::uint32_t>(pairs.whole_number("replicas_of_me", 1));
   for (std::string_view word : pairs.list("stats.columns"))
     launch.columns.push_back(report_column(word, pairs));
