--- a/src/wire/codes.h
+++ b/src/wire/codes.h
@@ -31,7 +31,7 @@
   kRefuse = 69,      // turn away
   kRelease = 70,     // free up
   kSend = 71,        // route
-  kWake = 72,        // wake me
+  kStartTimer = 72,  // wake me
   kHold = 73,        // pin up
   kSubscribe = 74,   // follow
   kCancel = 75,      // revoke
--- a/src/wire/host.cpp
+++ b/src/wire/host.cpp
@@ -126,7 +126,7 @@
     begin_record(ActionCode::kProbe).u32(static_cast<std::uint32_t>(worker));
   }
   void start_timer(Duration delay, TimerToken token) override {
-    Writer& record = begin_record(ActionCode::kWake);
+    Writer& record = begin_record(ActionCode::kStartTimer);
     record.u64(to_nanoseconds(delay));
     record.u64(token);
   }
