--- a/src/members/list.cpp
+++ b/src/members/list.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMostMembers = 100'000;  // bounds what a broken source can make us hold
+constexpr std::size_t kMaxMembers = 100'000;  // bounds the memory that a faulty list service can take
 
 std::optional<WorkerState> state_of(const std::string& text) {
   if (text == "ready") return WorkerState::kReady;
@@ -17,10 +17,10 @@
   return std::nullopt;
 }
 
-// The library wraps negative and cuts large numbers; a list must not.
-std::uint64_t whole(const json& value, std::uint64_t most) {
-  if (!value.is_number_unsigned() || value.get<std::uint64_t>() > most)
-    throw json::other_error::create(501, "a whole number is out of range or none: " + value.dump(), &value);
+// The JSON library wraps negative numbers and truncates large ones; here they are errors.
+std::uint64_t whole_number(const json& value, std::uint64_t max) {
+  if (!value.is_number_unsigned() || value.get<std::uint64_t>() > max)
+    throw json::other_error::create(501, "not a whole number within range: " + value.dump(), &value);
   return value.get<std::uint64_t>();
 }
 
@@ -39,25 +39,26 @@
     if (scope != "full" && scope != "changes") return why = "scope is neither full nor changes", std::nullopt;
     update.full = scope == "full";
     update.epoch = doc.value("epoch", std::int64_t{0});
-    update.version = whole(doc.at("version"), ~0ULL);
-    if (!update.full) update.from = whole(doc.at("from"), ~0ULL);
+    update.version = whole_number(doc.at("version"), ~0ULL);
+    if (!update.full) update.from = whole_number(doc.at("from"), ~0ULL);
     const json& workers = doc.at("workers");
-    if (!workers.is_array() || workers.size() > kMostMembers)
-      return why = "workers is no list or too long", std::nullopt;
-    for (const json& w : workers) {
-      Member m;
-      m.id = static_cast<std::uint32_t>(whole(w.at("id"), ~0U));
-      const auto state = state_of(w.value("state", "ready"));
-      if (!state) return why = "worker " + std::to_string(m.id) + ": unknown state", std::nullopt;
-      m.state = *state;
-      const auto address = io::parse_address(w.value("at", ""));
-      if (address) m.address = *address;
-      if (!address && m.state != WorkerState::kGone)
-        return why = "worker " + std::to_string(m.id) + ": no address in 'at'", std::nullopt;
-      m.zone = w.value("zone", ""), m.kind = w.value("kind", ""), m.cell = w.value("cell", "");
-      m.size = w.value("size", 1.0F);
-      if (w.contains("started_ms")) m.started_unix_ms = w.at("started_ms").get<std::int64_t>();
-      update.members.push_back(std::move(m));
+    if (!workers.is_array() || workers.size() > kMaxMembers)
+      return why = "workers is not an array or is too long", std::nullopt;
+    for (const json& entry : workers) {
+      Member member;
+      member.id = static_cast<std::uint32_t>(whole_number(entry.at("id"), ~0U));
+      const auto state = state_of(entry.value("state", "ready"));
+      if (!state) return why = "worker " + std::to_string(member.id) + ": unknown state", std::nullopt;
+      member.state = *state;
+      const auto address = io::parse_address(entry.value("at", ""));
+      if (address) member.address = *address;
+      if (!address && member.state != WorkerState::kGone)
+        return why = "worker " + std::to_string(member.id) + ": no address in 'at'", std::nullopt;
+      member.zone = entry.value("zone", ""), member.kind = entry.value("kind", ""),
+      member.cell = entry.value("cell", "");
+      member.size = entry.value("size", 1.0F);
+      if (entry.contains("started_ms")) member.started_unix_ms = entry.at("started_ms").get<std::int64_t>();
+      update.members.push_back(std::move(member));
     }
     return update;
   } catch (const json::exception& e) {
@@ -67,12 +68,12 @@
 
 std::string write_update(const Update& update) {
   json workers = json::array();
-  for (const Member& m : update.members) {
-    json w{{"id", m.id},     {"at", m.address.text()}, {"state", text_of(m.state)},
-           {"zone", m.zone}, {"kind", m.kind},         {"cell", m.cell},
-           {"size", m.size}};
-    if (m.started_unix_ms) w["started_ms"] = *m.started_unix_ms;
-    workers.push_back(std::move(w));
+  for (const Member& member : update.members) {
+    json entry{{"id", member.id},     {"at", member.address.text()}, {"state", text_of(member.state)},
+               {"zone", member.zone}, {"kind", member.kind},         {"cell", member.cell},
+               {"size", member.size}};
+    if (member.started_unix_ms) entry["started_ms"] = *member.started_unix_ms;
+    workers.push_back(std::move(entry));
   }
   json doc{{"scope", update.full ? "full" : "changes"},
            {"epoch", update.epoch},
@@ -82,7 +83,7 @@
   return doc.dump();
 }
 
-std::uint16_t WorkerList::place(std::vector<std::string>& names, const std::string& name) {
+std::uint16_t WorkerList::intern(std::vector<std::string>& names, const std::string& name) {
   const auto it = std::find(names.begin(), names.end(), name);
   if (it == names.end()) names.push_back(name);
   return static_cast<std::uint16_t>(
@@ -90,43 +91,44 @@
 }
 
 WorkerList::ApplyResult WorkerList::take(const Update& update, Duration wall_offset, bool cached) {
-  ApplyResult taken;
+  ApplyResult result;
   const bool later_epoch = version_ && update.epoch > epoch_;
-  if (version_ && update.epoch < epoch_) return taken;
+  if (version_ && update.epoch < epoch_) return result;
   if (version_ && !later_epoch) {
-    // The service's own list replaces a cached one of the same version.
+    // A full list from the service replaces a cached one of the same version.
     if (update.full ? update.version < *version_ || (update.version == *version_ && !cached_)
                     : update.version <= *version_)
-      return taken;
+      return result;
   }
   if (!update.full && (!version_ || later_epoch || cached_ || update.from != version_)) {
-    taken.verdict = Verdict::kGap;
-    return taken;
+    result.verdict = Verdict::kGap;
+    return result;
   }
-  taken.verdict = Verdict::kApplied;
-  taken.scope = cached ? ListScope::kCached : update.full ? ListScope::kFull : ListScope::kChanges;
-  taken.version = ++told_;
+  result.verdict = Verdict::kApplied;
+  result.scope = cached ? ListScope::kCached : update.full ? ListScope::kFull : ListScope::kChanges;
+  result.version = ++reported_version_;
   epoch_ = update.epoch;
   version_ = update.version;
   cached_ = cached;
   if (update.full) members_.clear();
-  for (const Member& m : update.members) {
-    Member& held = members_[m.id];
-    const io::Address address = m.address.port != 0 ? m.address : held.address;
-    held = m;
-    held.address = address;
+  for (const Member& member : update.members) {
+    Member& current = members_[member.id];
+    const io::Address address = member.address.port != 0 ? member.address : current.address;
+    current = member;
+    current.address = address;
     WorkerEntry entry;
-    entry.id = WorkerId{m.id};
-    entry.zone = place(zones_, m.zone);
-    const auto kind = std::find(kinds_.begin(), kinds_.end(), m.kind);
+    entry.id = WorkerId{member.id};
+    entry.zone = intern(zones_, member.zone);
+    const auto kind = std::find(kinds_.begin(), kinds_.end(), member.kind);
     entry.kind = kind == kinds_.end() ? 0 : static_cast<std::uint16_t>(kind - kinds_.begin());
-    entry.cell = place(cells_, m.cell);
-    entry.state = m.state;
-    entry.size = m.size;
-    if (m.started_unix_ms) entry.started = Time(std::chrono::milliseconds(*m.started_unix_ms) + wall_offset);
-    taken.entries.push_back(entry);
+    entry.cell = intern(cells_, member.cell);
+    entry.state = member.state;
+    entry.size = member.size;
+    if (member.started_unix_ms)
+      entry.started = Time(std::chrono::milliseconds(*member.started_unix_ms) + wall_offset);
+    result.entries.push_back(entry);
   }
-  return taken;
+  return result;
 }
 
 const Member* WorkerList::find(WorkerId id) const {
--- a/src/members/list_subscriber.h
+++ b/src/members/list_subscriber.h
@@ -1,5 +1,6 @@
-// Follows a list service: connects, reads one JSON document a line, asks for a full list after a gap, and
-// reconnects with jittered back-off. What it hears goes to `heard`; silence leaves the last list standing.
+// Subscribes to a list service: connects, reads one JSON document per line, requests a full list after a gap,
+// and reconnects with jittered exponential backoff. While the service is unreachable the last list stays in
+// force.
 #pragma once
 
 #include <functional>
@@ -11,29 +12,31 @@
 
 class ListSubscriber : public io::ConnectionEvents {
  public:
-  // `heard` is given each line; `lost` is told when the service cannot be heard, with the reason.
+  // `on_line` gets each line. `on_disconnect` gets the reason whenever the connection fails or ends.
   ListSubscriber(io::Host& host, io::Address service, std::string name,
-                 std::function<void(std::string_view)> heard, std::function<void(const std::string&)> lost);
+                 std::function<void(std::string_view)> on_line,
+                 std::function<void(const std::string&)> on_disconnect);
 
+  // Does nothing while disconnected.
   void request_full_list();
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
-  void on_closed(io::Closed why) override;
+  void on_closed(io::Closed reason) override;
 
  private:
-  static constexpr std::size_t kLongestLine = 16U << 20;
+  static constexpr std::size_t kMaxLineBytes = 16U << 20;
   void dial();
-  void drop(const std::string& why);
+  void disconnect(const std::string& reason);
 
   io::Host& host_;
   io::Address service_;
   std::string name_;
-  std::function<void(std::string_view)> heard_;
-  std::function<void(const std::string&)> lost_;
+  std::function<void(std::string_view)> on_line_;
+  std::function<void(const std::string&)> on_disconnect_;
   std::unique_ptr<io::Connection> connection_;
-  std::unique_ptr<io::Timer> again_;
-  Duration back_off_;
-  bool open_ = false;
+  std::unique_ptr<io::Timer> reconnect_timer_;
+  Duration backoff_;
+  bool connected_ = false;
 };
 
 }  // namespace laureltide::members
--- a/tests/members/list_test.cpp
+++ b/tests/members/list_test.cpp
@@ -1,4 +1,4 @@
-// Which list counts: versions, epochs, gaps, and lines that do not fit the page.
+// Tests which list updates apply (versions, epochs, gaps) and how invalid documents are rejected.
 #include "members/list.h"
 
 #include <gtest/gtest.h>
@@ -20,12 +20,12 @@
   return {false, epoch, version, from, std::move(members)};
 }
 
-struct ListTest : testing::Test {
+struct WorkerListTest : testing::Test {
   WorkerList list{{"small", "big"}};
   Verdict take(const Update& u, bool cached = false) { return list.take(u, {}, cached).verdict; }
 };
 
-TEST_F(ListTest, VersionsGoForward) {
+TEST_F(WorkerListTest, IgnoresOldVersionsAndDetectsGaps) {
   EXPECT_EQ(take(full(5, {member(1)})), Verdict::kApplied);
   EXPECT_EQ(take(full(4, {})), Verdict::kStale);
   EXPECT_EQ(take(full(5, {})), Verdict::kStale);
@@ -35,40 +35,40 @@
   EXPECT_EQ(list.members().size(), 2U);
 }
 
-TEST_F(ListTest, ALaterEpochStartsOverAndAnEarlierOneIsPassedOver) {
+TEST_F(WorkerListTest, AcceptsLaterEpochAndIgnoresEarlierOne) {
   take(full(50, {member(1)}));
   EXPECT_EQ(take(change(1, 2, {member(2)}, 2)), Verdict::kGap);
   const WorkerList::ApplyResult t = list.take(full(1, {member(2)}, 2), {});
   EXPECT_EQ(t.verdict, Verdict::kApplied);
-  EXPECT_GT(t.version, 1U);  // the module's version goes on rising
+  EXPECT_GT(t.version, 1U);  // the version given to the decision module keeps rising
   EXPECT_EQ(take(full(60, {member(1)}, 1)), Verdict::kStale);
 }
 
-TEST_F(ListTest, TheServiceReplacesACachedListOfItsVersion) {
+TEST_F(WorkerListTest, ReplacesCachedListWithServiceList) {
   EXPECT_EQ(take(full(5, {member(1)}), true), Verdict::kApplied);
-  EXPECT_EQ(take(change(5, 6, {member(2)})), Verdict::kGap);  // a cache is no base for changes
+  EXPECT_EQ(take(change(5, 6, {member(2)})), Verdict::kGap);  // changes cannot be based on a cached list
   EXPECT_EQ(take(full(5, {member(1), member(2)})), Verdict::kApplied);
   EXPECT_EQ(take(full(5, {member(1), member(2)})), Verdict::kStale);
 }
 
-TEST_F(ListTest, EntriesKeepKindAndAddress) {
+TEST_F(WorkerListTest, KeepsKindAndAddress) {
   const WorkerList::ApplyResult t = list.take(full(1, {member(1)}), {});
   ASSERT_EQ(t.entries.size(), 1U);
   EXPECT_EQ(t.entries[0].kind, 1);
   Member gone;
   gone.id = 1, gone.state = WorkerState::kGone;
   take(change(1, 2, {gone}));
-  EXPECT_EQ(list.find(WorkerId{1})->address.port, 7001);  // what is out there is still heard
+  EXPECT_EQ(list.find(WorkerId{1})->address.port, 7001);  // calls still in flight there can be answered
 }
 
-TEST_F(ListTest, StartTimesTurnIntoTheClockWithAFixedOffset) {
+TEST_F(WorkerListTest, ConvertsStartTimesWithFixedOffset) {
   Member m = member(1);
   m.started_unix_ms = 10'000;
   const WorkerList::ApplyResult t = list.take(full(1, {m}), std::chrono::seconds(-7));
   EXPECT_EQ(*t.entries[0].started, Time(std::chrono::seconds(3)));
 }
 
-TEST(ListText, GoesRound) {
+TEST(ListUpdateTest, RoundTrips) {
   Member m = member(3, WorkerState::kDraining);
   m.zone = "a", m.cell = "r1", m.started_unix_ms = 77;
   const Update u = change(4, 5, {m}, 9);
@@ -80,7 +80,7 @@
   EXPECT_EQ(back->epoch, 9);
 }
 
-TEST(ListText, WhatDoesNotFitIsSaid) {
+TEST(ListUpdateTest, ReportsInvalidDocuments) {
   for (const char* bad :
        {"", "[]", "{}", "{\"scope\":\"some\",\"version\":1,\"workers\":[]}",
         "{\"scope\":\"full\",\"version\":-1,\"workers\":[]}",
