--- a/src/platform/feed.h
+++ b/src/platform/feed.h
@@ -1,20 +1,24 @@
-// The platform's event bus: server-sent events over HTTP/1.1, followed with Last-Event-ID. Sans-I/O.
+// Client of the platform's event bus: server-sent events over HTTP/1.1, resumed with Last-Event-ID. Sans-I/O.
 //
-// Follower keeps one connection. It ends at a break, at `silent` without a byte (the bus comments each
-// second), when no answer has begun within `answer_within`, and at anything that cannot be read; the next one
-// asks from the last event held. The first try after a break is made at once, those after refusals with
-// jittered back-off. Half an event is no event.
+// EventSubscriber keeps one connection open. It reconnects when the connection breaks, when no byte arrives
+// within `silence_timeout` (the bus sends a comment every second), when no response begins within
+// `response_timeout`, and when the response cannot be parsed. The new connection resumes after the last event
+// received. The first attempt after a break is immediate; after refusals it backs off exponentially with
+// jitter. Incomplete events are dropped.
 //
-// A bus that falls silent counts as having told all 4 s later: a silence, and a second one on the very next
-// connection or a dial that is lost, must be over by then. Hence 1.8 + 1.8 s, or 1.8 + 0.5 + 1 s.
+// When a bus falls silent, the platform counts all changes as notified 4 s later. One silence, followed by a
+// second one on the next connection or by a lost dial, has to be over by then. Hence 1.8 + 1.8 s, or 1.8 +
+// 0.5 + 1 s.
 //
-// What the bus tells is told to its connections in order, and it comments between events. So once it has
-// commented on a connection, all that it told before is held, and each whole line after that says so again;
-// bytes that never make a line, and the head of an answer, say nothing. From the last such line the follower
-// derives since when a change that is not held may count as told (`current`): kToldAfter later, or when the
-// bus is asked anew, whichever comes first.
+// The bus sends events in order on each connection, and comments in between. Once a comment has arrived on a
+// connection, all events sent before it have been received; each later complete line confirms this again.
+// Bytes that complete no line, and the response head, confirm nothing. From the last confirming line the
+// subscriber derives the time before which no change counts as notified that it has not received
+// (on_current_until): kNotifiedAfter later, or when the bus is asked again on a new connection, whichever
+// comes first.
 //
-// Bounds: a head of kMostHead, a line and an event of kMostEvent bytes; over them the connection ends.
+// Bounds: kMaxHeadBytes for the response head, kMaxEventBytes for a line and for an event; beyond them the
+// connection is closed.
 #pragma once
 
 #include <functional>
@@ -24,105 +28,109 @@
 
 namespace laureltide::platform {
 
+// A server-sent event with a numeric id.
 struct Event {
   std::uint64_t id = 0;
   std::string data;
 };
 
-// The bytes of a response to GET /bus/read, in any cuts, to events. After false it takes nothing more.
+// Parses the bytes of a response to GET /bus/read into events, in chunks of any size.
 class EventParser {
  public:
-  static constexpr std::size_t kMostHead = 16U << 10;
-  static constexpr std::size_t kMostEvent = 1U << 20;
-  // False when the bytes can be no such response; why() tells.
-  bool feed(std::string_view bytes, const std::function<void(Event)>& heard);
+  static constexpr std::size_t kMaxHeadBytes = 16U << 10;
+  static constexpr std::size_t kMaxEventBytes = 1U << 20;
+  // Returns false once the bytes cannot be such a response; error() says why. It parses nothing after that.
+  bool feed(std::string_view bytes, const std::function<void(Event)>& on_event);
   bool in_body() const { return state_ != State::kHead; }
-  // Whole lines of the body so far, and how many of them were comments.
+  // Complete lines of the body so far, and how many of them were comments.
   std::size_t lines_read() const { return lines_read_; }
   std::size_t comments_read() const { return comments_read_; }
-  const std::string& why() const { return why_; }
+  const std::string& error() const { return error_; }
 
  private:
-  enum class State { kHead, kBody, kChunkSize, kChunk, kChunkEnd, kOver };
-  bool bad(std::string why);
+  enum class State { kHead, kBody, kChunkSize, kChunk, kChunkEnd, kFailed };
+  bool fail(std::string reason);
   bool read_head(std::string_view head);
-  bool lines(std::string_view bytes, const std::function<void(Event)>& heard);
-  bool line(std::string_view text, const std::function<void(Event)>& heard);
+  bool read_lines(std::string_view bytes, const std::function<void(Event)>& on_event);
+  bool read_line(std::string_view text, const std::function<void(Event)>& on_event);
 
   State state_ = State::kHead;
-  std::string held_;  // a head or a chunk's size, until it is whole
+  std::string partial_;  // a response head or chunk size that is not complete yet
   std::size_t chunk_left_ = 0;
   std::string line_, data_;
   bool after_cr_ = false;
   std::optional<std::uint64_t> id_;
   std::size_t lines_read_ = 0, comments_read_ = 0;
-  std::string why_;
+  std::string error_;
 };
 
+// Follows the event bus. See the head of this file.
 class EventSubscriber : public io::ConnectionEvents {
  public:
   struct Options {
-    Duration silent = std::chrono::milliseconds(1800);  // a comment is late by most of a second
-    Duration line_within = std::chrono::seconds(5);     // bytes that make no line for so long: a break
-    // Doubled up to the longest each time that no answer begins: a crowded bus may need longer, and would
-    // else never be heard.
-    Duration answer_within = std::chrono::milliseconds(1000);
-    Duration longest_answer_within = std::chrono::seconds(8);
+    Duration silence_timeout = std::chrono::milliseconds(1800);  // comments come every second and may be late
+    Duration line_timeout = std::chrono::seconds(5);             // limit on bytes that complete no line
+    // Doubled up to the maximum each time that no response begins: an overloaded bus may need longer and
+    // would otherwise never be read.
+    Duration response_timeout = std::chrono::milliseconds(1000);
+    Duration max_response_timeout = std::chrono::seconds(8);
     Duration dial_timeout = std::chrono::milliseconds(500);
-    Duration first_back_off = std::chrono::milliseconds(50);
-    Duration longest_back_off = std::chrono::milliseconds(800);
+    Duration initial_backoff = std::chrono::milliseconds(50);
+    Duration max_backoff = std::chrono::milliseconds(800);
   };
-  // `heard` is given each event once, in order, above `last`. It returns false for one that cannot be taken
-  // yet (a gap): the bus is asked again from the last one held. `lost` is told why a connection ended.
+  // `on_event` gets each event after `last` once, in order. It returns false for an event that cannot be
+  // applied yet (a gap); the subscriber then reconnects and resumes after the last applied one.
+  // `on_disconnect` gets the reason each time a connection ends.
   EventSubscriber(io::Host& host, io::Address bus, std::uint64_t last, Options options,
-                  std::function<bool(const Event&)> heard, std::function<void(const std::string&)> lost);
+                  std::function<bool(const Event&)> on_event,
+                  std::function<void(const std::string&)> on_disconnect);
 
-  // The shortest of the platform's times after which what a bus out of reach would tell counts as told: 2 s
-  // after a break, 4 s after it falls silent.
-  static constexpr Duration kToldAfter = std::chrono::seconds(2);
-  // `current` is given the time before which no change can count as told that has not been given to `heard`.
-  // It mostly rises; it falls back when the bus is asked anew and has not answered yet.
-  void on_current_until(std::function<void(Time)> current) { current_ = std::move(current); }
+  // When the bus is unreachable, the platform counts changes as notified 2 s after a break and 4 s after the
+  // bus falls silent. This is the shorter of the two.
+  static constexpr Duration kNotifiedAfter = std::chrono::seconds(2);
+  // `callback` gets the time before which no change counts as notified that `on_event` has not received. The
+  // time mostly increases; it falls back when the subscriber reconnects and the bus has not responded yet.
+  void on_current_until(std::function<void(Time)> callback) { on_current_until_ = std::move(callback); }
 
-  // Another bus from now on; the numbers go on.
+  // Switches to another bus, which continues the event numbers.
   void move(const io::Address& bus);
-  // Events behind this one are told again. From within `heard`, which then returns false.
+  // Requests the events after this one again. To be called from `on_event`, which then returns false.
   void resume_from(std::uint64_t last) { last_ = last; }
-  // Events up to this one came by another way.
+  // Skips events up to this one, which were received by other means.
   void skip_to(std::uint64_t last) { last_ = std::max(last_, last); }
   std::uint64_t last() const { return last_; }
   const io::Address& bus() const { return bus_; }
   bool connected() const { return parser_.in_body(); }
-  // When the bus last said a whole line, an event or a comment; the start of the watch where it has not.
-  Time last_line_at() const { return heard_at_; }
+  // When the last complete line (event or comment) arrived; the time of construction if none has.
+  Time last_line_at() const { return last_line_at_; }
 
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
-  void on_closed(io::Closed why) override;
+  void on_closed(io::Closed reason) override;
 
  private:
   void dial();
-  void drop(const std::string& why);
-  void on_silence();
+  void disconnect(const std::string& reason);
+  void on_silence_timeout();
   void set_current_until(Time at);
 
   io::Host& host_;
   io::Address bus_;
   std::uint64_t last_;
   Options options_;
-  std::function<bool(const Event&)> heard_;
-  std::function<void(const std::string&)> lost_;
+  std::function<bool(const Event&)> on_event_;
+  std::function<void(const std::string&)> on_disconnect_;
   EventParser parser_;
   std::unique_ptr<io::Connection> connection_;
-  std::unique_ptr<io::Timer> timer_, silence_;
-  std::function<void(Time)> current_;
-  Duration answer_wait_{};  // of the present connection
-  Duration back_off_{};
-  Time dialed_{};
-  Time heard_at_{};        // the last whole line
-  Time line_or_ask_at_{};  // the last whole line of this connection, else its begin
-  Time bytes_at_{};        // the last bytes of this connection, else its begin
-  Time said_at_{};         // when the last line left the bus, at the earliest
+  std::unique_ptr<io::Timer> reconnect_timer_, silence_timer_;
+  std::function<void(Time)> on_current_until_;
+  Duration current_response_timeout_{};  // for the current connection
+  Duration backoff_{};
+  Time dialed_at_{};
+  Time last_line_at_{};       // last complete line on any connection
+  Time last_progress_at_{};   // last complete line on this connection, else when it opened
+  Time last_bytes_at_{};      // last bytes on this connection, else when it opened
+  Time last_line_sent_at_{};  // earliest time at which the bus may have sent the last line
   Time current_until_{};
 };
 
--- a/src/platform/frame.cpp
+++ b/src/platform/frame.cpp
@@ -7,7 +7,7 @@
 namespace laureltide::platform {
 namespace {
 
-std::uint32_t check_of(std::string_view fields, std::string_view body) {
+std::uint32_t checksum_of(std::string_view fields, std::string_view body) {
   const auto sum = [](uLong from, std::string_view bytes) {
     return crc32_z(from, reinterpret_cast<const Bytef*>(bytes.data()), bytes.size());
   };
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-ParseResult parse(std::string_view bytes, std::uint8_t mark) {
+ParseResult parse(std::string_view bytes, std::uint8_t magic) {
   ParseResult result;
   const auto bad = [&](std::string_view why) {
     result.kind = ParseResult::Kind::kBad, result.why = why;
     return result;
   };
   if (bytes.empty()) return result;
-  if (static_cast<std::uint8_t>(bytes[0]) != mark) return bad("another mark than the peer's");
+  if (static_cast<std::uint8_t>(bytes[0]) != magic) return bad("another mark than the peer's");
   if (bytes.size() < kHeaderBytes) return result;
   Reader in(bytes);
   in.u8();
@@ -35,28 +35,28 @@
   const std::size_t body = in.u32();
   result.frame.id = in.u64();
   result.id = result.frame.id;
-  if (fields > kMostFields) return bad("more fields than any frame has");
+  if (fields > kMaxFieldsBytes) return bad("more fields than any frame has");
   if (body > kMaxBodyBytes) return bad("a body longer than any frame has");
   if (bytes.size() < kHeaderBytes + fields + body + kChecksumBytes) return result;
   result.frame.fields = in.take(fields);
   result.frame.body = in.take(body);
-  if (in.u32() != check_of(result.frame.fields, result.frame.body)) return bad("the check does not fit");
+  if (in.u32() != checksum_of(result.frame.fields, result.frame.body)) return bad("the check does not fit");
   result.kind = ParseResult::Kind::kFrame;
   result.size = kHeaderBytes + fields + body + kChecksumBytes;
   return result;
 }
 
-void write(std::string& out, std::uint8_t mark, Code code, std::uint64_t id, std::string_view fields,
+void write(std::string& out, std::uint8_t magic, Code code, std::uint64_t id, std::string_view fields,
            std::string_view body) {
   Writer w(out);
-  w.u8(mark);
+  w.u8(magic);
   w.u8(static_cast<std::uint8_t>(code));
   w.u16(static_cast<std::uint16_t>(fields.size()));
   w.u32(static_cast<std::uint32_t>(body.size()));
   w.u64(id);
   w.bytes(fields);
   w.bytes(body);
-  w.u32(check_of(fields, body));
+  w.u32(checksum_of(fields, body));
 }
 
 std::optional<std::string_view> field(std::string_view fields, std::string_view name) {
--- a/src/platform/invoker_list.h
+++ b/src/platform/invoker_list.h
@@ -1,14 +1,15 @@
-// The platform's events to what the project knows as a list of workers. No I/O.
+// Converts the platform's membership events into worker list updates. No I/O.
 //
-// Invokers are named by words; the module and the core know numbers. A number is given to a name when it is
-// first told, and never to another one. When the name has left, the two part: an invoker that comes back
-// under its name has started anew.
+// The platform names invokers by strings; the decision module and the core use numeric worker ids. A name
+// gets an id when it first appears, and an id is never reused. A name that has left loses its id, so an
+// invoker that returns under the same name counts as a new worker.
 //
-// Events are changes, each building on the one before. One that is missing or that cannot be read may have
-// told a drain, so it is not passed over: the holder asks for all events again, from the first, which holds
-// the whole list (rebuild). While they come, the list held stays in force; it is replaced in one step, when
-// the replay has come as far as was told before. What even the replay lacks is passed over there. An entry
-// that can be read in part only counts as leaving: nothing new goes where nobody knows what was told.
+// Events are changes, each based on the one before. A missing or unreadable event may have announced a drain,
+// so it is not skipped: the owner requests all events again from the first one, which holds the full list
+// (start_replay). During the replay the current list stays in force. It is replaced in one step once the
+// replay has reached the last event seen before. Events that even the replay lacks are skipped there. An
+// entry that can be read only in part counts as draining, so that no new work goes to an invoker whose state
+// is uncertain.
 #pragma once
 
 #include <map>
@@ -19,16 +20,17 @@
 
 namespace laureltide::platform {
 
+// The platform's invokers as of the last event applied.
 class InvokerList {
  public:
-  static constexpr std::size_t kMostMembers = 10'000;
+  static constexpr std::size_t kMaxMembers = 10'000;
   enum class Verdict {
     kApplied,
-    kOld,  // told before, or part of a replay that is not whole yet
-    kGap,  // an earlier one is missing: nothing of it counts
-    kBad,  // unreadable: nothing of it counts
+    kNoChange,  // already applied, or part of a replay that is not complete yet
+    kGap,       // an earlier event is missing: the event is not applied
+    kBad,       // unreadable: the event is not applied
   };
-  // A worker whose state another event has changed. Absent: it was not listed.
+  // A worker whose state the event changed. `before` is absent if it was not listed.
   struct Change {
     std::string name;
     std::uint32_t id = 0;
@@ -37,33 +39,34 @@
   };
   struct ApplyResult {
     Verdict verdict = Verdict::kBad;
-    members::Update update;       // when taken; at the end of a replay the list in full
-    std::vector<Change> changes;  // when taken, for logs
-    std::string why;              // when bad; else what of it could not be read, if anything
+    members::Update update;       // if kApplied; at the end of a replay, the full list
+    std::vector<Change> changes;  // if kApplied, for logging
+    std::string why;              // if kBad; otherwise what could not be read, if anything
   };
-  // `data` is an event's JSON. An event of a list in full may come after a gap, changes may not.
+  // Applies the event with this number, whose JSON is `data`. An event with the full list may follow a gap;
+  // one with changes may not.
   ApplyResult take(std::uint64_t number, std::string_view data);
-  // All events are going to be told again from the first, as far as `goal` at least.
-  void start_replay(std::uint64_t goal);
-  bool replaying() const { return rebuild_.has_value(); }
+  // Announces that all events will be given again from the first, at least up to event `until`.
+  void start_replay(std::uint64_t until);
+  bool replaying() const { return replay_.has_value(); }
 
-  std::uint64_t last() const { return last_; }  // of the list held
-  std::size_t names() const { return held_.size(); }
+  std::uint64_t last() const { return last_event_; }     // the last event applied
+  std::size_t names() const { return members_.size(); }  // number of invokers listed
   std::optional<std::uint32_t> worker_id_of(const std::string& name) const;
 
  private:
-  using Members = std::map<std::string, members::Member>;  // by name
-  struct Rebuild {
-    std::uint64_t goal = 0, last = 0;
+  using Members = std::map<std::string, members::Member>;  // keyed by name
+  struct Replay {
+    std::uint64_t until = 0, last = 0;
     Members members;
   };
-  ApplyResult replay(std::uint64_t number, std::string_view data);
+  ApplyResult apply_replayed(std::uint64_t number, std::string_view data);
   static std::vector<Change> changes(const Members& before, const Members& after);
 
-  Members held_;
-  std::uint32_t next_ = 1;
-  std::uint64_t last_ = 0;
-  std::optional<Rebuild> rebuild_;
+  Members members_;
+  std::uint32_t next_id_ = 1;
+  std::uint64_t last_event_ = 0;
+  std::optional<Replay> replay_;
 };
 
 }  // namespace laureltide::platform
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -10,14 +10,14 @@
 
 namespace laureltide::platform {
 
-// One connection. It keeps which ids are out on it; what they mean is the link's.
-class Link::Wire : public io::ConnectionEvents {
+// One connection to the invoker. It tracks which ids are in flight on it; the link knows what they stand for.
+class Link::InvokerConnection : public io::ConnectionEvents {
  public:
-  Wire(Link& link, std::uint64_t number, std::size_t read_ahead)
+  InvokerConnection(Link& link, std::uint64_t number, std::size_t read_ahead)
       : number(number),
         link_(link),
         timer_(link.host_.timer([this] { on_timer(); })),
-        unsent_timer_(link.host_.timer([this] { look_at_unsent(); })) {
+        unsent_timer_(link.host_.timer([this] { check_unsent(); })) {
     ++link_.budget_.open;
     io::StreamOptions options;
     options.connect_timeout = link_.options_.dial_timeout;
@@ -25,7 +25,7 @@
     connection_ = link_.host_.connect(link_.address_, options, *this);
     timer_->start(link_.options_.dial_timeout);
   }
-  ~Wire() override {
+  ~InvokerConnection() override {
     if (connection_) --link_.budget_.open;
   }
 
@@ -37,130 +37,132 @@
     connection_.reset();
   }
 
-  void ask(std::uint64_t id, const Key& key, std::string_view frame) {
-    out[id] = key;
-    put_asked(id, frame);
-    if (!asked_at) asked_at = link_.host_.now();
+  void send(std::uint64_t id, const Key& key, std::string_view frame) {
+    in_flight[id] = key;
+    write_pending(id, frame);
+    if (!awaiting_since) awaiting_since = link_.host_.now();
   }
-  // What has an answer under its id.
-  void put_asked(std::uint64_t id, std::string_view frame) {
+  // Sends a frame that will be answered under its id.
+  void write_pending(std::uint64_t id, std::string_view frame) {
     carried.add(id);
     retired |= carried.full();
-    put(frame);
-    const Key& key = out.at(id);
+    transmit(frame);
+    const Key& key = in_flight.at(id);
     if (!key.first) return;
     link_.events_.on_call_left(link_.worker_, key.second, number);
-    if (connection_->unsent() > 0) untaken_.push_back(id);
+    if (connection_->unsent() > 0) unsent_calls_.push_back(id);
   }
-  void put(std::string_view frame) {
+  void transmit(std::string_view frame) {
     const Time now = link_.host_.now();
-    if (out.size() <= 1) rested = now - used_at;  // what comes behind it ended no rest
-    used_at = now;
+    if (in_flight.size() <= 1) idle_time = now - last_activity;  // only the first frame ends an idle period
+    last_activity = now;
     connection_->write(frame);
-    if (connection_->unsent() > 0) unsent_timer_->start(kLookAtUnsentEvery);
+    if (connection_->unsent() > 0) unsent_timer_->start(kUnsentCheckInterval);
   }
-  void rest() {  // nothing is out any more
-    if (open && out.empty()) timer_->start(link_.options_.idle_timeout);
+  void start_idle_timer() {  // if nothing is in flight any more
+    if (open && in_flight.empty()) timer_->start(link_.options_.idle_timeout);
   }
   bool unresponsive() const {
-    return asked_at && link_.host_.now() - *asked_at > link_.options_.unresponsive_after;
+    return awaiting_since && link_.host_.now() - *awaiting_since > link_.options_.unresponsive_after;
   }
   std::size_t unsent() const { return connection_ && open ? connection_->unsent() : 0; }
 
   const std::uint64_t number;
-  std::map<std::uint64_t, Key> out;
-  CarriedIds carried;  // of all that left on it
+  std::map<std::uint64_t, Key> in_flight;
+  CarriedIds carried;  // every id sent on it
   bool open = false;
-  Time used_at{};                // last byte either way
-  Duration rested{};             // idle before the last frame
-  bool retired = false;          // gets nothing new, and ends with what is out
-  bool ending = false;           // ends at the next turn whatever is out
-  std::optional<Time> asked_at;  // of the first frame since the last byte came
-  std::size_t unknown = 0;
-  struct Waiting {
+  Time last_activity{};                // last byte in either direction
+  Duration idle_time{};                // idle period before the last frame
+  bool retired = false;                // gets nothing new and closes once nothing is in flight
+  bool force_close = false;            // closes on the next event-loop turn, whatever is in flight
+  std::optional<Time> awaiting_since;  // first frame sent since the last byte arrived
+  std::size_t unexpected_answers = 0;
+  struct Queued {
     std::string frame;
-    bool begins = false;  // something new at the worker: a call, an order to load
+    bool starts_work = false;  // a call or an order to load, as opposed to a query
   };
-  std::map<std::uint64_t, Waiting> waiting;  // until the connection stands, by id
+  std::map<std::uint64_t, Queued> queued;  // by id, until the connection is open
 
   // ---- io::ConnectionEvents ----
   void on_open() override {
     open = true;
-    used_at = link_.host_.now();
+    last_activity = link_.host_.now();
     timer_->stop();
     const bool may_begin = link_.events_.may_begin(link_.worker_);
-    for (const auto& [id, what] : std::exchange(waiting, {})) {
-      const Key& key = out.at(id);
+    for (const auto& [id, queued_frame] : std::exchange(queued, {})) {
+      const Key& key = in_flight.at(id);
       const bool may_leave = !key.first || link_.events_.may_leave(link_.worker_, key.second);
-      if ((what.begins && !may_begin) || !may_leave)
-        link_.withhold(*this, id);
+      if ((queued_frame.starts_work && !may_begin) || !may_leave)
+        link_.discard_queued(*this, id);
       else
-        put_asked(id, what.frame);
+        write_pending(id, queued_frame.frame);
     }
-    if (!out.empty()) asked_at = link_.host_.now();
-    rest();
+    if (!in_flight.empty()) awaiting_since = link_.host_.now();
+    start_idle_timer();
   }
   std::size_t on_bytes(std::string_view bytes) override {
-    asked_at.reset();
-    used_at = link_.host_.now();
+    awaiting_since.reset();
+    last_activity = link_.host_.now();
     std::size_t used = 0;
     while (connection_) {
-      const ParseResult r = parse(bytes.substr(used), kInvokerMagic);
-      if (r.kind == ParseResult::Kind::kNeedMore) break;
-      if (r.kind == ParseResult::Kind::kBad) {
-        link_.drop(*this, Outcome::kReset, std::string(r.why), r.id);
+      const ParseResult result = parse(bytes.substr(used), kInvokerMagic);
+      if (result.kind == ParseResult::Kind::kNeedMore) break;
+      if (result.kind == ParseResult::Kind::kBad) {
+        link_.close_connection(*this, Outcome::kReset, std::string(result.why), result.id);
         return bytes.size();
       }
-      used += r.size;
-      link_.on_frame(*this, r.frame);
+      used += result.size;
+      link_.on_frame(*this, result.frame);
     }
-    if (connection_ && !out.empty()) asked_at = link_.host_.now();
+    if (connection_ && !in_flight.empty()) awaiting_since = link_.host_.now();
     return used;
   }
   void on_closed(io::Closed why) override {
-    if (!open) return link_.drop(*this, Outcome::kConnectFailed, "no connection");
-    // Found ended while it rested, or by the very frame that ended its rest.
-    const Duration since = link_.host_.now() - used_at;
-    if (out.empty())
-      link_.learn_rest(since);
-    else if (why == io::Closed::kBroken && since < link_.options_.verdict)
-      link_.learn_rest(rested);
-    link_.broke(*this,
-                why == io::Closed::kByPeer ? "the invoker closed the connection" : "the connection broke");
+    if (!open) return link_.close_connection(*this, Outcome::kConnectFailed, "no connection");
+    // Closed by the peer while idle, or in response to the first frame after an idle period.
+    const Duration since_activity = link_.host_.now() - last_activity;
+    if (in_flight.empty())
+      link_.learn_idle_limit(since_activity);
+    else if (why == io::Closed::kBroken && since_activity < link_.options_.crash_window)
+      link_.learn_idle_limit(idle_time);
+    link_.on_connection_lost(
+        *this, why == io::Closed::kByPeer ? "the invoker closed the connection" : "the connection broke");
   }
 
  private:
-  void look_at_unsent() {
+  void check_unsent() {
     if (!connection_) return;
-    if (connection_->unsent() == 0) return untaken_.clear();
-    const bool late = std::any_of(untaken_.begin(), untaken_.end(), [this](std::uint64_t id) {
-      const auto it = out.find(id);
-      return it != out.end() && !link_.events_.may_leave(link_.worker_, it->second.second);
+    if (connection_->unsent() == 0) return unsent_calls_.clear();
+    const bool late = std::any_of(unsent_calls_.begin(), unsent_calls_.end(), [this](std::uint64_t id) {
+      const auto it = in_flight.find(id);
+      return it != in_flight.end() && !link_.events_.may_leave(link_.worker_, it->second.second);
     });
-    if (late || !link_.events_.may_begin(link_.worker_)) return link_.end_later(*this);
-    unsent_timer_->start(kLookAtUnsentEvery);
+    if (late || !link_.events_.may_begin(link_.worker_)) return link_.force_close_later(*this);
+    unsent_timer_->start(kUnsentCheckInterval);
   }
   void on_timer() {
-    if (!open) return link_.drop(*this, Outcome::kConnectFailed, "no connection in time");
-    if (out.empty()) link_.drop(*this, Outcome::kReset, "idle");
+    if (!open) return link_.close_connection(*this, Outcome::kConnectFailed, "no connection in time");
+    if (in_flight.empty()) link_.close_connection(*this, Outcome::kReset, "idle");
   }
 
-  static constexpr Duration kLookAtUnsentEvery = std::chrono::milliseconds(25);
+  static constexpr Duration kUnsentCheckInterval = std::chrono::milliseconds(25);
 
   Link& link_;
-  std::vector<std::uint64_t> untaken_;  // ids of calls of which the machine may hold bytes back
+  std::vector<std::uint64_t> unsent_calls_;  // ids of calls whose bytes may still be in the send buffer
   std::unique_ptr<io::Timer> timer_, unsent_timer_;
   std::unique_ptr<io::Connection> connection_;
 };
 
 namespace {
 
-constexpr std::size_t kReadAhead = kHeaderBytes + kMostFields + kMaxBodyBytes + kChecksumBytes + (16U << 10);
+constexpr std::size_t kReadAhead =
+    kHeaderBytes + kMaxFieldsBytes + kMaxBodyBytes + kChecksumBytes + (16U << 10);
 
-constexpr double kRestDoubles = 30;  // seconds in which what was learnt of a rest is trusted twice as far
-constexpr Duration kOutlivedCounts = std::chrono::seconds(30);  // as an example of a rest that ended nothing
+constexpr double kIdleLimitDoublingSeconds = 30;  // a learned idle limit doubles in this time
+// How long a survived idle period counts as evidence that no shorter idle limit exists.
+constexpr Duration kIdleSurvivalValidFor = std::chrono::seconds(30);
 
-std::optional<float> number(std::string_view text) {
+std::optional<float> parse_number(std::string_view text) {
   float value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(value)) return std::nullopt;
@@ -185,225 +187,238 @@
       options_(options),
       budget_(budget),
       events_(events),
-      dead_(host),
-      verdict_(host.timer([this] { judge_broken(); })),
-      later_timer_(host.timer([this] {
-        const auto due = std::exchange(later_, {});
-        for (const auto& what : due) what();
+      closed_(host),
+      crash_timer_(host.timer([this] { settle_lost_connections(); })),
+      deferred_timer_(host.timer([this] {
+        const auto due = std::exchange(deferred_, {});
+        for (const auto& action : due) action();
       })) {}
 Link::~Link() = default;
 
-void Link::later(std::function<void()> what) {
-  if (later_.empty()) later_timer_->start(Duration(0));
-  later_.push_back(std::move(what));
+void Link::defer(std::function<void()> action) {
+  if (deferred_.empty()) deferred_timer_->start(Duration(0));
+  deferred_.push_back(std::move(action));
 }
 
-std::uint64_t Link::fresh_id() { return host_.random(); }
+std::uint64_t Link::random_id() { return host_.random(); }
 
 void Link::call(worker::Call call, std::string_view body, std::uint64_t cookie) {
   const auto id = parse_id(call.name);
   std::string fields =
       "c=" + call.request_class + ",k=" + call.function + ",w=" + std::to_string(call.patience_ms);
   if (!call.key.empty()) fields += ",i=" + call.key;
-  give(Kind::kCall, cookie, id.value_or(0), Code::kCall, true, fields, body);
+  dispatch(Kind::kCall, cookie, id.value_or(0), Code::kCall, true, fields, body);
 }
 
 void Link::hold(const std::string& function, int instances, std::uint64_t cookie) {
-  give(Kind::kHold, cookie, fresh_id(), Code::kLoad, instances > 0,
-       "k=" + function + ",units=" + std::to_string(instances), {});
+  dispatch(Kind::kHold, cookie, random_id(), Code::kLoad, instances > 0,
+           "k=" + function + ",units=" + std::to_string(instances), {});
 }
 
 void Link::probe(std::uint64_t cookie) {
-  give(Kind::kProbe, cookie, fresh_id(), Code::kStats, false, {}, {});
+  dispatch(Kind::kProbe, cookie, random_id(), Code::kStats, false, {}, {});
 }
 
-void Link::give(Kind kind, std::uint64_t cookie, std::uint64_t id, Code code, bool begins,
-                std::string_view fields, std::string_view body) {
+void Link::dispatch(Kind kind, std::uint64_t cookie, std::uint64_t id, Code code, bool starts_work,
+                    std::string_view fields, std::string_view body) {
   const Key key{kind == Kind::kCall, cookie};
-  Wire* wire = pick(id);
-  asked_[key] = {kind, cookie, id, wire};
-  if (!wire)  // not handed to any transport: it never ran
-    return later([this, key] {
-      const auto it = asked_.find(key);
-      if (it == asked_.end()) return;
-      const Asked asked = it->second;
-      asked_.erase(it);
-      end(asked.cookie, asked.kind, Outcome::kFull, "no connection is free");
+  InvokerConnection* connection = pick_connection(id);
+  pending_[key] = {kind, cookie, id, connection};
+  if (!connection)  // never handed to a transport, so it never ran
+    return defer([this, key] {
+      const auto it = pending_.find(key);
+      if (it == pending_.end()) return;
+      const Pending pending = it->second;
+      pending_.erase(it);
+      report_end(pending.cookie, pending.kind, Outcome::kFull, "no connection is free");
     });
   scratch_.clear();
   write(scratch_, kControllerMagic, code, id, fields, body);
-  if (wire->open) return wire->ask(id, key, scratch_);
-  wire->out[id] = key;
-  wire->waiting[id] = {scratch_, begins};
+  if (connection->open) return connection->send(id, key, scratch_);
+  connection->in_flight[id] = key;
+  connection->queued[id] = {scratch_, starts_work};
 }
 
-// An idle connection, else another while there is room, else the least laden one that can be trusted. Never
-// one that has carried the id: a late copy of an earlier answer would be taken for this one's.
-Link::Wire* Link::pick(std::uint64_t id) {
-  Wire* idle = nullptr;
-  Wire* least = nullptr;
-  Wire* unfit = nullptr;  // the first to go where a connection more needs the room
+// Returns an idle connection, else a new one while the limits allow, else the least loaded usable one. Never
+// returns one that has carried the id, since a duplicate of an earlier answer would be taken for this
+// attempt's.
+Link::InvokerConnection* Link::pick_connection(std::uint64_t id) {
+  InvokerConnection* idle = nullptr;
+  InvokerConnection* least_loaded = nullptr;
+  InvokerConnection* unfit = nullptr;  // closed first if a new connection needs its place
   const Time now = host_.now();
-  for (const auto& wire : wires_) {
-    const bool bad = wire->retired || wire->unresponsive() || (wire->open && now - wire->used_at > rest()) ||
-                     wire->carried.contains(id);
-    if (bad && (!unfit || wire->out.size() < unfit->out.size())) unfit = wire.get();
-    if (bad || wire->out.size() >= options_.streams || wire->out.contains(id)) continue;
-    // The one used last: the others may idle out.
-    if (wire->out.empty() && wire->open && (!idle || wire->used_at > idle->used_at)) idle = wire.get();
-    if (!least || wire->out.size() < least->out.size()) least = wire.get();
+  for (const auto& connection : connections_) {
+    const bool unusable = connection->retired || connection->unresponsive() ||
+                          (connection->open && now - connection->last_activity > idle_limit()) ||
+                          connection->carried.contains(id);
+    if (unusable && (!unfit || connection->in_flight.size() < unfit->in_flight.size()))
+      unfit = connection.get();
+    if (unusable || connection->in_flight.size() >= options_.streams || connection->in_flight.contains(id))
+      continue;
+    // Prefers the most recently used one, so that the others reach their idle timeout.
+    if (connection->in_flight.empty() && connection->open &&
+        (!idle || connection->last_activity > idle->last_activity))
+      idle = connection.get();
+    if (!least_loaded || connection->in_flight.size() < least_loaded->in_flight.size())
+      least_loaded = connection.get();
   }
   if (idle) return idle;
-  const std::size_t most = budget_.limit + (least ? 0 : budget_.reserve);
-  const bool full = wires_.size() >= options_.max_connections || budget_.open >= most;
-  if (full && unfit && unfit->out.empty()) drop(*unfit, Outcome::kReset, "makes room");
-  if (wires_.size() < options_.max_connections && budget_.open < most) {
-    wires_.push_back(std::make_unique<Wire>(*this, ++connections_made_, kReadAhead));
-    return wires_.back().get();
+  const std::size_t limit = budget_.limit + (least_loaded ? 0 : budget_.reserve);
+  const bool full = connections_.size() >= options_.max_connections || budget_.open >= limit;
+  if (full && unfit && unfit->in_flight.empty()) close_connection(*unfit, Outcome::kReset, "makes room");
+  if (connections_.size() < options_.max_connections && budget_.open < limit) {
+    connections_.push_back(std::make_unique<InvokerConnection>(*this, ++connections_made_, kReadAhead));
+    return connections_.back().get();
   }
-  return least;
+  return least_loaded;
 }
 
 void Link::cancel(std::uint64_t cookie) {
   const Key key{true, cookie};
-  const auto it = asked_.find(key);
-  if (it == asked_.end() || !it->second.wire) return;
-  const bool unsent = it->second.wire->waiting.contains(it->second.id);
-  give_up(key, false);
-  later([this, cookie, unsent] {
-    events_.on_call_end(worker_, cookie, {unsent ? Outcome::kMoot : Outcome::kCancelled, {}, {}, {}, {}, {}});
+  const auto it = pending_.find(key);
+  if (it == pending_.end() || !it->second.connection) return;
+  const bool was_queued = it->second.connection->queued.contains(it->second.id);
+  abandon(key, false);
+  defer([this, cookie, was_queued] {
+    events_.on_call_end(worker_, cookie,
+                        {was_queued ? Outcome::kMoot : Outcome::kCancelled, {}, {}, {}, {}, {}});
   });
 }
 
-// Where the answer can still be used it is waited for; where the word is that nobody wants the call, only
-// what is still here can be spared.
+// A call that has been sent completely is left alone and its answer awaited. Only one that is still queued,
+// or whose bytes may still be in the send buffer, can be kept from the worker.
 void Link::withdraw(std::uint64_t cookie) {
-  const auto it = asked_.find({true, cookie});
-  if (it == asked_.end() || !it->second.wire) return;
-  const bool waits = it->second.wire->waiting.contains(it->second.id);
-  if (!waits && it->second.wire->unsent() == 0) return;
-  give_up({true, cookie}, false);
-  const Outcome outcome = waits ? Outcome::kMoot : Outcome::kCancelled;
-  later([this, cookie, outcome] { events_.on_call_end(worker_, cookie, {outcome, {}, {}, {}, {}, {}}); });
+  const auto it = pending_.find({true, cookie});
+  if (it == pending_.end() || !it->second.connection) return;
+  const bool was_queued = it->second.connection->queued.contains(it->second.id);
+  if (!was_queued && it->second.connection->unsent() == 0) return;
+  abandon({true, cookie}, false);
+  const Outcome outcome = was_queued ? Outcome::kMoot : Outcome::kCancelled;
+  defer([this, cookie, outcome] { events_.on_call_end(worker_, cookie, {outcome, {}, {}, {}, {}, {}}); });
 }
 
 void Link::withdraw_waiting() {
-  for (const auto& wire : wires_) {
-    // Bytes that the machine has not taken would leave when the peer reads again.
-    if (wire->unsent() > 0) drop_later(*wire);
-    for (const auto& [id, frame] : std::exchange(wire->waiting, {})) withhold(*wire, id);
-    wire->rest();
+  for (const auto& connection : connections_) {
+    // Bytes still in the send buffer would be sent as soon as the peer reads again.
+    if (connection->unsent() > 0) close_connection_later(*connection);
+    for (const auto& [id, queued_frame] : std::exchange(connection->queued, {}))
+      discard_queued(*connection, id);
+    connection->start_idle_timer();
   }
 }
 
-// What waited for the connection never leaves.
-void Link::withhold(Wire& wire, std::uint64_t id) {
-  const auto out = wire.out.find(id);
-  if (out == wire.out.end()) return;
-  const auto asked = asked_.find(out->second);
-  wire.out.erase(out);
-  if (asked == asked_.end()) return;
-  const Asked what = asked->second;
-  asked_.erase(asked);
-  later([this, what] {
-    end(what.cookie, what.kind, what.kind == Kind::kCall ? Outcome::kMoot : Outcome::kFull, "");
+// Drops a frame that was queued for the connection and reports its end.
+void Link::discard_queued(InvokerConnection& connection, std::uint64_t id) {
+  const auto sent = connection.in_flight.find(id);
+  if (sent == connection.in_flight.end()) return;
+  const auto pending = pending_.find(sent->second);
+  connection.in_flight.erase(sent);
+  if (pending == pending_.end()) return;
+  const Pending entry = pending->second;
+  pending_.erase(pending);
+  defer([this, entry] {
+    report_end(entry.cookie, entry.kind, entry.kind == Kind::kCall ? Outcome::kMoot : Outcome::kFull, "");
   });
 }
 
-bool Link::forget_call(std::uint64_t cookie) { return give_up({true, cookie}, true); }
-void Link::forget_hold(std::uint64_t cookie) { give_up({false, cookie}, true); }
-
-// Nobody waits for it any more. What went unanswered marks its connection: an answer to come would only say
-// that it was late, and one that never comes that the connection is dead. True when nothing of it had left.
-bool Link::give_up(const Key& key, bool unanswered) {
-  const auto it = asked_.find(key);
-  if (it == asked_.end()) return false;
-  const Asked asked = it->second;
-  asked_.erase(it);
-  if (!asked.wire) return false;
-  Wire& wire = *asked.wire;
-  wire.out.erase(asked.id);
-  if (wire.waiting.erase(asked.id) > 0) {
-    wire.rest();
+bool Link::forget_call(std::uint64_t cookie) { return abandon({true, cookie}, true); }
+void Link::forget_hold(std::uint64_t cookie) { abandon({false, cookie}, true); }
+
+// Stops waiting for an answer. `unanswered` retires the connection: either the answer is late or the
+// connection is dead. Returns true if nothing of the frame had been sent.
+bool Link::abandon(const Key& key, bool unanswered) {
+  const auto it = pending_.find(key);
+  if (it == pending_.end()) return false;
+  const Pending pending = it->second;
+  pending_.erase(it);
+  if (!pending.connection) return false;
+  InvokerConnection& connection = *pending.connection;
+  connection.in_flight.erase(pending.id);
+  if (connection.queued.erase(pending.id) > 0) {
+    connection.start_idle_timer();
     return true;
   }
-  wire.retired |= unanswered;
-  const bool stuck = wire.unsent() > 0;  // its own bytes may be among them, and cannot be called back
-  if (asked.kind == Kind::kCall && !stuck) {
+  connection.retired |= unanswered;
+  const bool has_unsent = connection.unsent() > 0;  // may include this call's bytes, which cannot be recalled
+  if (pending.kind == Kind::kCall && !has_unsent) {
     scratch_.clear();
-    write(scratch_, kControllerMagic, Code::kGiveUp, asked.id, {}, {});
-    wire.put(scratch_);
+    write(scratch_, kControllerMagic, Code::kCancel, pending.id, {}, {});
+    connection.transmit(scratch_);
   }
-  if (stuck)
-    end_later(wire);
-  else if (wire.retired && wire.out.empty())
-    drop_later(wire);
+  if (has_unsent)
+    force_close_later(connection);
+  else if (connection.retired && connection.in_flight.empty())
+    close_connection_later(connection);
   else
-    wire.rest();
+    connection.start_idle_timer();
   return false;
 }
 
-// Not from within what may be called by the connection itself.
-void Link::drop_later(Wire& wire) {
-  later([this, gone = &wire] {
-    const auto it = std::find_if(wires_.begin(), wires_.end(), [&](auto& w) { return w.get() == gone; });
-    if (it == wires_.end()) return;
-    const Wire& found = **it;
-    const bool done = found.retired && found.out.empty();
-    if (done) return drop(**it, Outcome::kReset, "retired");
-    if (found.ending || found.unsent() > 0) drop(**it, Outcome::kReset, "it took no bytes");
+// Deferred because the connection itself may be on the call stack.
+void Link::close_connection_later(InvokerConnection& connection) {
+  defer([this, target = &connection] {
+    const auto it = std::find_if(connections_.begin(), connections_.end(),
+                                 [&](auto& candidate) { return candidate.get() == target; });
+    if (it == connections_.end()) return;
+    const InvokerConnection& closing = **it;
+    const bool done = closing.retired && closing.in_flight.empty();
+    if (done) return close_connection(**it, Outcome::kReset, "retired");
+    if (closing.force_close || closing.unsent() > 0)
+      close_connection(**it, Outcome::kReset, "it took no bytes");
   });
 }
 
-// Also if the machine takes the bytes before the next turn: nothing else tells the worker that a call among
-// them is given up, and the call's next attempt may be under way.
-void Link::end_later(Wire& wire) {
-  wire.ending = wire.retired = true;
-  drop_later(wire);
+// Closes the connection even if its bytes are sent before the next event-loop turn: closing is the only way
+// to tell the worker that a call among them was cancelled, and the call's next attempt may already be
+// running.
+void Link::force_close_later(InvokerConnection& connection) {
+  connection.force_close = connection.retired = true;
+  close_connection_later(connection);
 }
 
 void Link::release(const std::string& function) {
   const auto id = parse_id(function);
   if (!id) return;
-  // Only a connection that stands: without one there is nothing of ours that could not as well idle out.
-  for (const auto& wire : wires_) {
-    if (!wire->open || wire->retired || wire->unresponsive()) continue;
+  // Sent only on an open connection; without one, the instances are left to the worker's own idle timeout.
+  for (const auto& connection : connections_) {
+    if (!connection->open || connection->retired || connection->unresponsive()) continue;
     scratch_.clear();
     write(scratch_, kControllerMagic, Code::kUnload, *id, {}, {});
-    return wire->put(scratch_);
+    return connection->transmit(scratch_);
   }
 }
 
-void Link::on_frame(Wire& wire, const Frame& frame) {
-  const auto out = wire.out.find(frame.id);
-  const auto asked = out == wire.out.end() ? asked_.end() : asked_.find(out->second);
-  if (asked == asked_.end()) return on_unasked(wire, frame.id);
-  const Asked what = asked->second;
+void Link::on_frame(InvokerConnection& connection, const Frame& frame) {
+  const auto sent = connection.in_flight.find(frame.id);
+  const auto pending = sent == connection.in_flight.end() ? pending_.end() : pending_.find(sent->second);
+  if (pending == pending_.end()) return on_unexpected_answer(connection, frame.id);
+  const Pending entry = pending->second;
   const auto code = static_cast<Code>(frame.code);
-  const bool probed = code == Code::kHealthy || code == Code::kUnhealthy;
-  const bool fits = what.kind == Kind::kProbe ? probed
-                    : what.kind == Kind::kHold
-                        ? code == Code::kOk || code == Code::kFull || code == Code::kError
-                        : code == Code::kOk || code == Code::kMiss || code == Code::kFull ||
-                              code == Code::kError || code == Code::kOver;
-  if (!fits) return drop(wire, Outcome::kReset, "an answer of a code that does not fit", frame.id);
-  wire.out.erase(out);
-  asked_.erase(asked);
-  outlived(wire.rested);
-  if (wire.retired && wire.out.empty())
-    drop_later(wire);
+  const bool is_probe_answer = code == Code::kHealthy || code == Code::kUnhealthy;
+  const bool expected = entry.kind == Kind::kProbe ? is_probe_answer
+                        : entry.kind == Kind::kHold
+                            ? code == Code::kOk || code == Code::kFull || code == Code::kError
+                            : code == Code::kOk || code == Code::kMiss || code == Code::kFull ||
+                                  code == Code::kError || code == Code::kAlreadyOver;
+  if (!expected)
+    return close_connection(connection, Outcome::kReset, "an answer of a code that does not fit", frame.id);
+  connection.in_flight.erase(sent);
+  pending_.erase(pending);
+  note_idle_survived(connection.idle_time);
+  if (connection.retired && connection.in_flight.empty())
+    close_connection_later(connection);
   else
-    wire.rest();
+    connection.start_idle_timer();
   const Outcome outcome = code == Code::kOk || code == Code::kHealthy ? Outcome::kOk
                           : code == Code::kMiss                       ? Outcome::kMiss
                           : code == Code::kFull                       ? Outcome::kFull
-                          : code == Code::kOver                       ? Outcome::kMoot
+                          : code == Code::kAlreadyOver                ? Outcome::kMoot
                                                                       : Outcome::kError;
-  if (what.kind == Kind::kProbe)
-    return events_.on_probe_end(worker_, what.cookie, outcome, report_of(frame.fields));
-  if (what.kind == Kind::kHold) {
-    const auto units = number(field(frame.fields, "units").value_or(""));
-    return events_.on_hold_end(worker_, what.cookie, outcome,
+  if (entry.kind == Kind::kProbe)
+    return events_.on_probe_end(worker_, entry.cookie, outcome, report_of(frame.fields));
+  if (entry.kind == Kind::kHold) {
+    const auto units = parse_number(field(frame.fields, "units").value_or(""));
+    return events_.on_hold_end(worker_, entry.cookie, outcome,
                                static_cast<int>(std::clamp(units.value_or(0), 0.0F, 1e6F)));
   }
   worker::LinkEvents::CallEnd end;
@@ -411,20 +426,22 @@
   end.found = found_of(field(frame.fields, "note").value_or(""));
   if (options_.tells_company)
     end.company = static_cast<int>(
-        std::clamp(number(field(frame.fields, "ahead").value_or("0")).value_or(0), 0.0F, 1e6F));
+        std::clamp(parse_number(field(frame.fields, "ahead").value_or("0")).value_or(0), 0.0F, 1e6F));
   end.report = report_of(frame.fields);
   end.body = frame.body;
-  events_.on_call_end(worker_, what.cookie, std::move(end));
+  events_.on_call_end(worker_, entry.cookie, std::move(end));
 }
 
-// A second copy, a late one, or one under an id that was never sent: passed over, but not without end.
-void Link::on_unasked(Wire& wire, std::uint64_t id) {
-  events_.on_oddity(worker_, wire.carried.contains(id) ? "a copy of an answer, or one to what was given up"
-                                                       : "an answer under an id that was never sent there");
-  if (++wire.unknown > options_.most_unknown) drop(wire, Outcome::kReset, "answers that nobody waits for");
+// Ignores a duplicate answer, a late one, or one to an id that was never sent, up to a limit per connection.
+void Link::on_unexpected_answer(InvokerConnection& connection, std::uint64_t id) {
+  events_.on_oddity(worker_, connection.carried.contains(id)
+                                 ? "a duplicate answer, or an answer to a cancelled call"
+                                 : "an answer to an id that was never sent on the connection");
+  if (++connection.unexpected_answers > options_.max_unexpected_answers)
+    close_connection(connection, Outcome::kReset, "answers that nobody waits for");
 }
 
-// "load=inflight:7;util:0.61"
+// Parses the field of an answer that looks like "load=inflight:7;util:0.61".
 LoadReport Link::report_of(std::string_view fields) const {
   LoadReport report;
   std::string_view load = field(fields, "load").value_or("");
@@ -436,7 +453,7 @@
     if (colon == std::string_view::npos) continue;
     const auto named = std::find_if(options_.load.begin(), options_.load.end(),
                                     [&](const auto& known) { return known.first == pair.substr(0, colon); });
-    const auto value = number(pair.substr(colon + 1));
+    const auto value = parse_number(pair.substr(colon + 1));
     if (named == options_.load.end() || !value) continue;
     switch (named->second) {
       case LoadValue::kInHand: report.in_hand = value; break;
@@ -452,103 +469,109 @@
   return report;
 }
 
-// The connection ends. `spoilt` is the id of an answer that could not be read: that call has run, and the
-// invoker is there. The others on it are told `for_the_rest`.
-void Link::drop(Wire& wire, Outcome for_the_rest, const std::string& why,
-                std::optional<std::uint64_t> spoilt) {
-  const auto it = std::find_if(wires_.begin(), wires_.end(), [&](auto& w) { return w.get() == &wire; });
-  if (it == wires_.end()) return;
-  std::unique_ptr<Wire> owned = std::move(*it);
-  wires_.erase(it);
-  const auto out = std::exchange(wire.out, {});
-  wire.close();
+// Closes the connection. `malformed` is the id of an answer that could not be parsed: that call has run and
+// the invoker is alive, so it ends as kError. Everything else in flight ends with `outcome_of_others`.
+void Link::close_connection(InvokerConnection& connection, Outcome outcome_of_others, const std::string& why,
+                            std::optional<std::uint64_t> malformed) {
+  const auto it = std::find_if(connections_.begin(), connections_.end(),
+                               [&](auto& candidate) { return candidate.get() == &connection; });
+  if (it == connections_.end()) return;
+  std::unique_ptr<InvokerConnection> owned = std::move(*it);
+  connections_.erase(it);
+  const auto ended = std::exchange(connection.in_flight, {});
+  connection.close();
   events_.on_connection_end(worker_, why);
-  if (spoilt) events_.on_oddity(worker_, "closed a connection: " + why);
-  for (const auto& [id, key] : out) {
-    const auto asked = asked_.find(key);
-    if (asked == asked_.end()) continue;
-    const Asked what = asked->second;
-    asked_.erase(asked);
-    const bool own = spoilt == id && what.kind == Kind::kCall;
-    end(what.cookie, what.kind, own ? Outcome::kError : for_the_rest, why);
+  if (malformed) events_.on_oddity(worker_, "closed a connection: " + why);
+  for (const auto& [id, key] : ended) {
+    const auto pending = pending_.find(key);
+    if (pending == pending_.end()) continue;
+    const Pending entry = pending->second;
+    pending_.erase(pending);
+    const bool answer_malformed = malformed == id && entry.kind == Kind::kCall;
+    report_end(entry.cookie, entry.kind, answer_malformed ? Outcome::kError : outcome_of_others, why);
   }
-  dead_.bury(std::move(owned));
+  closed_.bury(std::move(owned));
 }
 
-// The connection ended with no word. What was out on it may have run; whether the invoker died shows by its
-// other connections, a moment later.
-void Link::broke(Wire& wire, const std::string& why) {
-  const auto it = std::find_if(wires_.begin(), wires_.end(), [&](auto& w) { return w.get() == &wire; });
-  if (it == wires_.end()) return;
-  Broken broken{host_.now(), {}, {}, why};
-  for (const auto& w : wires_)
-    if (w.get() != &wire && w->open) broken.others.push_back(w.get());
-  if (broken.others.empty() || wire.out.empty()) return drop(wire, Outcome::kReset, why);
-  for (const auto& [id, key] : std::exchange(wire.out, {})) {
-    const auto asked = asked_.find(key);
-    if (asked == asked_.end()) continue;
-    asked->second.wire = nullptr;
-    broken.keys.push_back(key);
+// The connection was lost without an answer. What was in flight may have run. Whether the invoker crashed is
+// decided after the crash window, from whether its other connections closed too.
+void Link::on_connection_lost(InvokerConnection& connection, const std::string& why) {
+  const auto it = std::find_if(connections_.begin(), connections_.end(),
+                               [&](auto& candidate) { return candidate.get() == &connection; });
+  if (it == connections_.end()) return;
+  LostConnection lost{host_.now(), {}, {}, why};
+  for (const auto& sibling : connections_)
+    if (sibling.get() != &connection && sibling->open) lost.siblings.push_back(sibling.get());
+  if (lost.siblings.empty() || connection.in_flight.empty())
+    return close_connection(connection, Outcome::kReset, why);
+  for (const auto& [id, key] : std::exchange(connection.in_flight, {})) {
+    const auto pending = pending_.find(key);
+    if (pending == pending_.end()) continue;
+    pending->second.connection = nullptr;
+    lost.keys.push_back(key);
   }
-  drop(wire, Outcome::kReset, why);
-  broken_.push_back(std::move(broken));
-  if (broken_.size() == 1) verdict_->start(options_.verdict);
+  close_connection(connection, Outcome::kReset, why);
+  lost_connections_.push_back(std::move(lost));
+  if (lost_connections_.size() == 1) crash_timer_->start(options_.crash_window);
 }
 
-void Link::judge_broken() {
+void Link::settle_lost_connections() {
   const Time now = host_.now();
-  auto all = std::exchange(broken_, {});
-  for (Broken& broken : all) {
-    if (now - broken.at < options_.verdict) {
-      broken_.push_back(std::move(broken));
+  auto all = std::exchange(lost_connections_, {});
+  for (LostConnection& lost : all) {
+    if (now - lost.at < options_.crash_window) {
+      lost_connections_.push_back(std::move(lost));
       continue;
     }
-    const bool alive = std::any_of(wires_.begin(), wires_.end(), [&](const auto& w) {
-      return std::find(broken.others.begin(), broken.others.end(), w.get()) != broken.others.end();
+    const bool alive = std::any_of(connections_.begin(), connections_.end(), [&](const auto& candidate) {
+      return std::find(lost.siblings.begin(), lost.siblings.end(), candidate.get()) != lost.siblings.end();
     });
-    for (const Key& key : broken.keys) {
-      const auto asked = asked_.find(key);
-      if (asked == asked_.end()) continue;
-      const Asked what = asked->second;
-      asked_.erase(asked);
-      // An order or a sign of life that got lost is asked for anew by whoever wanted it.
-      const Outcome alone = what.kind == Kind::kCall ? Outcome::kError : Outcome::kTimeout;
-      end(what.cookie, what.kind, alive ? alone : Outcome::kReset, broken.why);
+    for (const Key& key : lost.keys) {
+      const auto pending = pending_.find(key);
+      if (pending == pending_.end()) continue;
+      const Pending entry = pending->second;
+      pending_.erase(pending);
+      // The caller repeats an order or a probe that was lost.
+      const Outcome outcome_if_alive = entry.kind == Kind::kCall ? Outcome::kError : Outcome::kTimeout;
+      report_end(entry.cookie, entry.kind, alive ? outcome_if_alive : Outcome::kReset, lost.why);
     }
   }
-  if (!broken_.empty()) verdict_->start(options_.verdict - (now - broken_.front().at));
+  if (!lost_connections_.empty())
+    crash_timer_->start(options_.crash_window - (now - lost_connections_.front().at));
 }
 
 std::size_t Link::unsent() const {
   std::size_t bytes = 0;
-  for (const auto& wire : wires_) bytes += wire->unsent();
+  for (const auto& connection : connections_) bytes += connection->unsent();
   return bytes;
 }
 
-Duration Link::rest() const {
-  if (rest_ == Duration(0)) return options_.idle_timeout;
-  const double seconds = std::chrono::duration<double>(host_.now() - rest_learnt_).count();
-  const double grown = std::chrono::duration<double>(rest_).count() * std::exp2(seconds / kRestDoubles);
+Duration Link::idle_limit() const {
+  if (idle_limit_ == Duration(0)) return options_.idle_timeout;
+  const double seconds = std::chrono::duration<double>(host_.now() - idle_limit_learned_at_).count();
+  const double grown =
+      std::chrono::duration<double>(idle_limit_).count() * std::exp2(seconds / kIdleLimitDoublingSeconds);
   return std::min(options_.idle_timeout,
                   std::chrono::duration_cast<Duration>(std::chrono::duration<double>(std::min(grown, 1e4))));
 }
 
-void Link::learn_rest(Duration rested) {
-  if (rested >= options_.idle_timeout || rested / 2 >= rest()) return;
-  // A bound on rests would have ended the one that lasted longer: this end has another cause.
-  if (rested <= outlived_ && host_.now() - outlived_at_ < kOutlivedCounts) return;
-  rest_ = std::max(options_.least_rest, rested / 2);
-  rest_learnt_ = host_.now();
+void Link::learn_idle_limit(Duration idle_time) {
+  if (idle_time >= options_.idle_timeout || idle_time / 2 >= idle_limit()) return;
+  // An idle timeout would also have closed the connection that was idle for longer, so this close has another
+  // cause.
+  if (idle_time <= longest_idle_survived_ && host_.now() - idle_survived_at_ < kIdleSurvivalValidFor) return;
+  idle_limit_ = std::max(options_.min_idle_limit, idle_time / 2);
+  idle_limit_learned_at_ = host_.now();
 }
 
-// A frame was answered on a connection that had rested for so long.
-void Link::outlived(Duration rested) {
+// Records that a connection still answered after being idle for this long.
+void Link::note_idle_survived(Duration idle_time) {
   const Time now = host_.now();
-  if (rested < outlived_ && now - outlived_at_ < kOutlivedCounts) return;
-  outlived_ = rested, outlived_at_ = now;
+  if (idle_time < longest_idle_survived_ && now - idle_survived_at_ < kIdleSurvivalValidFor) return;
+  longest_idle_survived_ = idle_time, idle_survived_at_ = now;
 }
 
-void Link::end(std::uint64_t cookie, Kind kind, Outcome outcome, const std::string& why) {
+void Link::report_end(std::uint64_t cookie, Kind kind, Outcome outcome, const std::string& why) {
   switch (kind) {
     case Kind::kCall: return events_.on_call_end(worker_, cookie, {outcome, {}, {}, {}, why, {}});
     case Kind::kHold: return events_.on_hold_end(worker_, cookie, outcome, 0);
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -1,34 +1,39 @@
-// The controller's end towards one invoker, in the platform's binary frames. A worker::Port.
+// The controller's client for one invoker, speaking the platform's binary frames. Implements worker::Port.
 //
-// A few connections, opened at need. A call takes an idle one where there is one, opens another while the
-// budget that all links share has room, and shares the least laden one after that: what is spoilt or breaks
-// takes as few other calls with it as can be. What may not be trusted gets nothing new: a connection on which
-// an attempt went unanswered, or that is silent for `unresponsive_after` while something is out there. It
-// keeps what is out until that has ended. A dial that never comes up proves that nothing ran.
+// Connection choice: connections are opened on demand. A call takes an idle connection if there is one, opens
+// a new one while the budget shared by all links has room, and otherwise shares the least loaded one, so that
+// a malformed answer or a lost connection affects as few calls as possible. A connection gets nothing new
+// once an attempt on it went unanswered, or while it has been silent for `unresponsive_after` with something
+// in flight. What is already in flight stays there until it ends. If the dial fails, nothing sent on it has
+// run.
 //
-// An invoker, or what stands between, may end idle connections long before the settings say, and a call that
-// crosses such an end may have run. So a link learns for how long a connection may rest: half the rest after
-// which one was found ended, and a little more again with each second that none was. An end after a rest that
-// another connection came through, of late, has another cause: nothing is learnt from it.
+// Idle limit: an invoker or a proxy in between may close idle connections much earlier than the settings say,
+// and a call sent at that moment may have run. A link therefore learns how long a connection may stay idle:
+// half the idle time after which a connection turned out to be closed, growing again with each second in
+// which none did. If another connection recently survived a longer idle time, the close had another cause,
+// and nothing is learned from it.
 //
-// A process that dies ends all its connections. One that ends alone, while others to the same invoker stand,
-// is a lost answer (error) and no sign of the invoker's death (reset).
+// Lost connections: an invoker process that exits closes all its connections. If one closes alone while
+// others to the same invoker stay open, its calls end as lost answers (kError); otherwise the invoker counts
+// as crashed (kReset).
 //
-// Told as never run: a miss, full, "was over", a dial that failed, a call given up before its connection
-// stood. Told as may have run: everything handed to the transport whose answer did not come, or came spoilt.
+// Reported as never run: a miss, full, "already over", a failed dial, and a call abandoned before its
+// connection was open. Reported as may have run: everything handed to the transport whose answer was lost or
+// malformed.
 //
-// What waits for a connection leaves only if, when the connection stands, the worker may still begin
-// something new (LinkEvents::may_begin) and the call may still leave (may_leave). Bytes that the machine does
-// not take are looked at again, and their connection ends when they may not: they would leave when the worker
-// reads.
+// Calls queued for a connection that is still being opened are sent only if, once it is open, the worker may
+// still start new work (LinkEvents::may_begin) and the call may still be sent (may_leave). Bytes that the
+// operating system has not accepted are checked again periodically; if they may no longer be sent, their
+// connection is closed, because they would be sent as soon as the worker reads again.
 //
-// An answer names the call's id, which all attempts of a call share, and may come twice. So an id never goes
-// over one connection twice: what comes on a connection is of the one attempt that it carried. Where each
-// connection has carried the id and no other can be made, the call ends as full.
+// An answer carries only the call's id, which all attempts of a call share, and may be delivered twice. An id
+// is therefore sent at most once per connection, so that every answer on a connection belongs to the one
+// attempt sent there. If every connection has carried the id and no other can be opened, the call ends as
+// full.
 //
-// Bounds: `streams` frames out a connection, CarriedIds::kMost over its life; `max_connections` connections a
-// link and Budget::most in all, over them a call ends as full; `most_unknown` answers that nobody waits for,
-// over it the connection ends.
+// Bounds: `streams` frames in flight per connection and CarriedIds::kCapacity ids over its lifetime;
+// `max_connections` per link and ConnectionBudget::limit in total, beyond which a call ends as full;
+// `max_unexpected_answers` per connection, beyond which it is closed.
 #pragma once
 
 #include <map>
@@ -41,29 +46,32 @@
 
 namespace laureltide::platform {
 
-// Connections of all links together, so that descriptors are never used up.
+// The number of connections of all links together, bounded so that file descriptors never run out.
 struct ConnectionBudget {
   std::size_t open = 0;
-  std::size_t limit = 64;    // past it a link shares what it has
-  std::size_t reserve = 32;  // above `most`, for links that have none
+  std::size_t limit = 64;    // beyond it a link shares its open connections
+  std::size_t reserve = 32;  // above `limit`, for links without a usable connection
 };
 
+// What a key of an invoker's load report stands for.
 enum class LoadValue { kInHand, kWaiting, kBusyCores, kRunMs, kServed, kErrors, kMemory, kLoads };
 
 struct LinkOptions {
   Duration dial_timeout = std::chrono::milliseconds(250);
-  Duration idle_timeout = std::chrono::seconds(20);  // an idle connection goes before the invoker ends it
-  Duration unresponsive_after =
-      std::chrono::milliseconds(500);                   // silence while something is out, then nothing new
-  Duration least_rest = std::chrono::milliseconds(20);  // that is ever learnt
-  Duration verdict = std::chrono::milliseconds(5);      // in which a dying process ends its other connections
+  Duration idle_timeout = std::chrono::seconds(20);  // shorter than the invoker's own idle timeout
+  // Silence with something in flight after which a connection gets nothing new.
+  Duration unresponsive_after = std::chrono::milliseconds(500);
+  Duration min_idle_limit = std::chrono::milliseconds(20);  // lower bound of the learned idle limit
+  // Time within which all connections of a crashed process are seen to close.
+  Duration crash_window = std::chrono::milliseconds(5);
   std::size_t streams = 32;
   std::size_t max_connections = 16;
-  std::size_t most_unknown = 64;
-  std::vector<std::pair<std::string, LoadValue>> load;  // names of a report's values, as the settings list
+  std::size_t max_unexpected_answers = 64;
+  std::vector<std::pair<std::string, LoadValue>> load;  // load report keys, as configured in the settings
   bool tells_company = false;
 };
 
+// The link to one invoker. See the head of this file.
 class Link : public worker::Port {
  public:
   Link(io::Host& host, WorkerId worker, io::Address address, const LinkOptions& options,
@@ -81,42 +89,43 @@
   void release(const std::string& function) override;
   void probe(std::uint64_t cookie) override;
   const io::Address& address() const override { return address_; }
-  // Ends that are about to be told keep it too: with it they would be lost.
-  bool idle() const override { return asked_.empty() && later_.empty(); }
+  // Deferred results keep the link from being idle: destroying an idle link would lose them.
+  bool idle() const override { return pending_.empty() && deferred_.empty(); }
 
-  std::size_t connections() const { return wires_.size(); }
-  std::size_t unsent() const;  // bytes that the machine has not taken yet
-  Duration rest() const;       // for which a connection is idle and still trusted
+  std::size_t connections() const { return connections_.size(); }
+  std::size_t unsent() const;   // bytes that the operating system has not accepted yet
+  Duration idle_limit() const;  // how long a connection may stay idle and still be used
 
  private:
   enum class Kind : std::uint8_t { kCall, kHold, kProbe };
-  class Wire;
-  struct Asked {
+  class InvokerConnection;
+  struct Pending {
     Kind kind = Kind::kCall;
     std::uint64_t cookie = 0;
     std::uint64_t id = 0;
-    Wire* wire = nullptr;  // none: its end is under way
+    InvokerConnection* connection = nullptr;  // null: its end is about to be reported
   };
-  using Key = std::pair<bool, std::uint64_t>;  // call or not, cookie: calls' and orders' are drawn apart
+  // Whether it is a call, and its cookie: cookies of calls and of orders are numbered separately.
+  using Key = std::pair<bool, std::uint64_t>;
 
-  void give(Kind kind, std::uint64_t cookie, std::uint64_t id, Code code, bool begins,
-            std::string_view fields, std::string_view body);
-  void withhold(Wire& wire, std::uint64_t id);
-  Wire* pick(std::uint64_t id);
-  std::uint64_t fresh_id();
-  void on_frame(Wire& wire, const Frame& frame);
-  void on_unasked(Wire& wire, std::uint64_t id);
-  void end(std::uint64_t cookie, Kind kind, Outcome outcome, const std::string& why);
-  void drop(Wire& wire, Outcome for_the_rest, const std::string& why,
-            std::optional<std::uint64_t> spoilt = {});
-  bool give_up(const Key& key, bool unanswered);
-  void drop_later(Wire& wire);
-  void end_later(Wire& wire);
-  void broke(Wire& wire, const std::string& why);
-  void learn_rest(Duration rested);
-  void outlived(Duration rested);
+  void dispatch(Kind kind, std::uint64_t cookie, std::uint64_t id, Code code, bool starts_work,
+                std::string_view fields, std::string_view body);
+  void discard_queued(InvokerConnection& connection, std::uint64_t id);
+  InvokerConnection* pick_connection(std::uint64_t id);
+  std::uint64_t random_id();
+  void on_frame(InvokerConnection& connection, const Frame& frame);
+  void on_unexpected_answer(InvokerConnection& connection, std::uint64_t id);
+  void report_end(std::uint64_t cookie, Kind kind, Outcome outcome, const std::string& why);
+  void close_connection(InvokerConnection& connection, Outcome outcome_of_others, const std::string& why,
+                        std::optional<std::uint64_t> malformed = {});
+  bool abandon(const Key& key, bool unanswered);
+  void close_connection_later(InvokerConnection& connection);
+  void force_close_later(InvokerConnection& connection);
+  void on_connection_lost(InvokerConnection& connection, const std::string& why);
+  void learn_idle_limit(Duration idle_time);
+  void note_idle_survived(Duration idle_time);
   LoadReport report_of(std::string_view fields) const;
-  void later(std::function<void()> what);
+  void defer(std::function<void()> action);
 
   io::Host& host_;
   WorkerId worker_;
@@ -124,24 +133,24 @@
   const LinkOptions& options_;
   ConnectionBudget& budget_;
   worker::LinkEvents& events_;
-  std::vector<std::unique_ptr<Wire>> wires_;
-  io::Graveyard<Wire> dead_;
-  std::map<Key, Asked> asked_;
-  Duration rest_{};  // as last learnt
-  Time rest_learnt_{};
-  Duration outlived_{};  // the longest rest of late that a connection came through
-  Time outlived_at_{};
-  struct Broken {  // what was out on connections that ended just now
+  std::vector<std::unique_ptr<InvokerConnection>> connections_;
+  io::Graveyard<InvokerConnection> closed_;
+  std::map<Key, Pending> pending_;
+  Duration idle_limit_{};  // when last learned; zero: never
+  Time idle_limit_learned_at_{};
+  Duration longest_idle_survived_{};  // recent idle time after which a connection still worked
+  Time idle_survived_at_{};
+  struct LostConnection {
     Time at;
-    std::vector<Key> keys;
-    std::vector<const Wire*> others;  // that stood then
+    std::vector<Key> keys;                           // what was in flight on it
+    std::vector<const InvokerConnection*> siblings;  // the link's other connections that were open then
     std::string why;
   };
-  std::vector<Broken> broken_;
-  std::unique_ptr<io::Timer> verdict_;
-  void judge_broken();
-  std::vector<std::function<void()>> later_;
-  std::unique_ptr<io::Timer> later_timer_;
+  std::vector<LostConnection> lost_connections_;  // for which the crash window is still running
+  std::unique_ptr<io::Timer> crash_timer_;
+  void settle_lost_connections();
+  std::vector<std::function<void()>> deferred_;
+  std::unique_ptr<io::Timer> deferred_timer_;
   std::uint64_t connections_made_ = 0;
   std::string scratch_;
 };
--- a/tests/platform/link_test.cpp
+++ b/tests/platform/link_test.cpp
@@ -1,4 +1,4 @@
-// The platform's binary frames, and the controller's end towards an invoker.
+// Tests the platform's binary frames and the controller's link to an invoker.
 #include "platform/link.h"
 
 #include <gtest/gtest.h>
@@ -13,20 +13,20 @@
 using namespace std::chrono_literals;
 using standin::PlatformInvoker;
 using standin::Spoil;
-const io::Address kAt{"127.0.0.1", 6565};
-const std::string kRow = "00000000000000aa";
+const io::Address kAddress{"127.0.0.1", 6565};
+const std::string kFunction = "00000000000000aa";
 
 // ---- Frames -------------------------------------------------------------------------------------------
 
-TEST(PlatformFrame, HasThePagesBytes) {
+TEST(PlatformFrame, MatchesDocumentedEncoding) {
   std::string out;
   write(out, kControllerMagic, Code::kCall, 0x0102030405060708, "123", "456789");
   const std::string head("\x4c\x41\x00\x03\x00\x00\x00\x06\x01\x02\x03\x04\x05\x06\x07\x08", 16);
-  // cbf43926 is the check value that CRC-32 is known by.
+  // cbf43926 is the standard CRC-32 check value, of "123456789".
   EXPECT_EQ(out, head + "123456789" + "\xcb\xf4\x39\x26");
 }
 
-TEST(PlatformFrame, WaitsForItsLastByte) {
+TEST(PlatformFrame, NeedsMoreUntilLastByte) {
   std::string out;
   write(out, kInvokerMagic, Code::kOk, 7, "ahead=1", std::string("\0body", 5));
   for (std::size_t n = 0; n < out.size(); ++n)
@@ -39,7 +39,7 @@
   EXPECT_EQ(r.frame.body.size(), 5U);
 }
 
-TEST(PlatformFrame, AnyFlippedBitIsBadOrAnotherHead) {
+TEST(PlatformFrame, RejectsFlippedBits) {
   std::string out;
   write(out, kInvokerMagic, Code::kOk, 7, "ahead=1", "body");
   for (std::size_t i = kHeaderBytes; i < out.size(); ++i) {
@@ -49,10 +49,11 @@
     EXPECT_EQ(r.kind, ParseResult::Kind::kBad) << i;
     EXPECT_EQ(r.id, 7U);
   }
-  EXPECT_EQ(parse("H", kInvokerMagic).kind, ParseResult::Kind::kBad);  // at once, not at the sixteenth byte
+  EXPECT_EQ(parse("H", kInvokerMagic).kind,
+            ParseResult::Kind::kBad);  // at the first byte, before the header is complete
 }
 
-TEST(PlatformFrame, ALengthOverTheBoundIsBadAtItsHead) {
+TEST(PlatformFrame, RejectsOversizedLengthAtHeader) {
   for (const auto& [fields, body] : {std::pair<int, unsigned>{0, 3'000'000'000U}, {60'000, 0U}}) {
     std::string head("\x6c\x61", 2);
     head += static_cast<char>(fields >> 8), head += static_cast<char>(fields & 255);
@@ -62,7 +63,7 @@
   }
 }
 
-TEST(PlatformFrame, FieldsAndIds) {
+TEST(PlatformFrame, ParsesFieldsAndIds) {
   EXPECT_EQ(field("a=1,load=x:1;y:2,a=3", "load"), "x:1;y:2");
   EXPECT_EQ(field("a=1,a=3", "a"), "1");
   EXPECT_FALSE(field("ab=1,=,x", "b"));
@@ -78,7 +79,7 @@
   LinkTest() { invoker.start(); }
 
   sim::Network net;
-  PlatformInvoker invoker{net, {kAt, 20ms, 50ms, 16, "active:7;cpu:0.61;odd:x;nobody:1"}};
+  PlatformInvoker invoker{net, {kAddress, 20ms, 50ms, 16, "active:7;cpu:0.61;odd:x;nobody:1"}};
   ConnectionBudget budget{0, 8, 2};
   LinkOptions options = [] {
     LinkOptions o;
@@ -90,35 +91,36 @@
   std::map<std::uint64_t, std::vector<std::pair<Outcome, int>>> holds;
   std::map<std::uint64_t, std::vector<Outcome>> probes;
   int oddities = 0;
-  bool inside = false;  // a call that gave something
-  Link link{net, WorkerId{1}, kAt, options, budget, *this};
+  bool in_link_call = false;  // during a call into the link, which must not report ends
+  Link link{net, WorkerId{1}, kAddress, options, budget, *this};
 
   void on_call_end(WorkerId, std::uint64_t c, CallEnd end) override {
-    EXPECT_FALSE(inside);
+    EXPECT_FALSE(in_link_call);
     ends[c].push_back(std::move(end));
   }
   void on_piece(WorkerId, std::uint64_t, std::string) override { FAIL(); }
   void on_hold_end(WorkerId, std::uint64_t c, Outcome o, int n) override {
-    EXPECT_FALSE(inside);
+    EXPECT_FALSE(in_link_call);
     holds[c].emplace_back(o, n);
   }
   void on_probe_end(WorkerId, std::uint64_t c, Outcome o, LoadReport) override { probes[c].push_back(o); }
   void on_oddity(WorkerId, const std::string&) override { ++oddities; }
-  bool may_begin(WorkerId) override { return may; }
-  bool may_leave(WorkerId, std::uint64_t cookie) override { return !over.contains(cookie); }
-  bool may = true;
-  std::set<std::uint64_t> over;  // calls that may not leave any more
+  bool may_begin(WorkerId) override { return worker_may_begin; }
+  bool may_leave(WorkerId, std::uint64_t cookie) override { return !withdrawn.contains(cookie); }
+  bool worker_may_begin = true;
+  std::set<std::uint64_t> withdrawn;  // calls that may no longer be sent
 
   void call(std::uint64_t cookie, std::uint64_t id = 0) {
     worker::Call c;
-    c.name = id_text(id ? id : 0x1000 + cookie), c.function = kRow, c.request_class = "read", c.key = "k-1";
+    c.name = id_text(id ? id : 0x1000 + cookie), c.function = kFunction, c.request_class = "read",
+    c.key = "k-1";
     c.patience_ms = 900;
-    inside = true;
+    in_link_call = true;
     link.call(std::move(c), "body " + std::to_string(cookie), cookie);
-    inside = false;
+    in_link_call = false;
   }
-  void load(int copies = 4) {
-    link.hold(kRow, copies, 999'999);
+  void load(int instances = 4) {
+    link.hold(kFunction, instances, 999'999);
     net.run_for(200ms);
     ASSERT_EQ(holds[999'999].size(), 1U);
   }
@@ -128,27 +130,27 @@
   }
 };
 
-// Between the dial and its end the worker may have begun to drain, as far as anybody knows.
-TEST_F(LinkTest, WhatWaitedForAConnectionLeavesOnlyIfItMayStillBegin) {
-  link.hold(kRow, 1, 1), link.hold(kRow, 0, 2), link.probe(3);
+// While the connection is being opened, the worker may have begun to drain.
+TEST_F(LinkTest, DiscardsQueuedWorkIfWorkerMayNotBegin) {
+  link.hold(kFunction, 1, 1), link.hold(kFunction, 0, 2), link.probe(3);
   call(4), call(5);
-  may = false;
+  worker_may_begin = false;
   net.run_for(200ms);
   EXPECT_EQ(outcome(4), Outcome::kMoot);
   EXPECT_EQ(outcome(5), Outcome::kMoot);
   ASSERT_EQ(holds[1].size(), 1U);
   EXPECT_EQ(holds[1][0].first, Outcome::kFull);
-  ASSERT_EQ(holds[2].size(), 1U);  // a question is nothing new
+  ASSERT_EQ(holds[2].size(), 1U);  // a query starts no work
   EXPECT_EQ(holds[2][0].first, Outcome::kOk);
   EXPECT_EQ(probes[3], std::vector<Outcome>{Outcome::kOk});
   EXPECT_TRUE(invoker.calls().empty());
-  EXPECT_EQ(invoker.orders(), 1U);  // the question
+  EXPECT_EQ(invoker.orders(), 1U);  // the query
   EXPECT_TRUE(link.idle());
 }
 
-TEST_F(LinkTest, ACallThatWaitedForAConnectionLeavesOnlyIfItStillMay) {
+TEST_F(LinkTest, DiscardsQueuedCallThatMayNoLongerLeave) {
   call(1), call(2);
-  over = {1};
+  withdrawn = {1};
   net.run_for(200ms);
   EXPECT_EQ(outcome(1), Outcome::kMoot);
   EXPECT_EQ(outcome(2), Outcome::kMiss);
@@ -156,7 +158,7 @@
   EXPECT_EQ(invoker.calls()[0].body, "body 2");
 }
 
-TEST_F(LinkTest, ACallAndWhatComesWithItsAnswer) {
+TEST_F(LinkTest, ReportsCallAnswer) {
   load();
   call(1);
   net.run_for(100ms);
@@ -168,11 +170,11 @@
   EXPECT_EQ(end.report.busy_cores, 0.61F);
   EXPECT_FALSE(end.report.loads);
   ASSERT_EQ(invoker.calls().size(), 1U);
-  EXPECT_EQ(invoker.calls()[0].fields, "c=read,k=" + kRow + ",w=900,i=k-1");
+  EXPECT_EQ(invoker.calls()[0].fields, "c=read,k=" + kFunction + ",w=900,i=k-1");
   EXPECT_TRUE(link.idle());
 }
 
-TEST_F(LinkTest, EachCodeIsItsOutcome) {
+TEST_F(LinkTest, MapsEachCodeToItsOutcome) {
   const std::pair<int, Outcome> codes[] = {
       {99, Outcome::kMiss}, {100, Outcome::kFull}, {101, Outcome::kError}, {102, Outcome::kMoot}};
   std::uint64_t cookie = 1;
@@ -185,7 +187,7 @@
   }
 }
 
-TEST_F(LinkTest, ACodeThatDoesNotFitEndsTheConnection) {
+TEST_F(LinkTest, ClosesConnectionOnUnexpectedCode) {
   invoker.answer_all(103);
   call(1);
   net.run_for(50ms);
@@ -193,22 +195,22 @@
   EXPECT_EQ(link.connections(), 0U);
 }
 
-TEST_F(LinkTest, OrdersAndProbes) {
-  link.hold(kRow, 2, 1), link.probe(2), link.hold(kRow, 0, 3);
+TEST_F(LinkTest, AnswersOrdersAndProbes) {
+  link.hold(kFunction, 2, 1), link.probe(2), link.hold(kFunction, 0, 3);
   net.run_for(200ms);
   EXPECT_EQ(holds[1], (std::vector{std::pair(Outcome::kOk, 2)}));
   EXPECT_EQ(probes[2], std::vector{Outcome::kOk});
   EXPECT_EQ(holds[3][0].first, Outcome::kOk);
-  link.hold(kRow, 99, 4);
+  link.hold(kFunction, 99, 4);
   net.run_for(200ms);
   EXPECT_EQ(holds[4], (std::vector{std::pair(Outcome::kFull, 2)}));
-  link.release(kRow);
+  link.release(kFunction);
   net.run_for(50ms);
   EXPECT_EQ(invoker.unloads(), 1U);
 }
 
-// What came spoilt has run; what else is out is told the truth, and calls on other connections go on.
-TEST_F(LinkTest, SpoiltAnswersEndTheirConnectionAlone) {
+// A malformed answer means that its call has run; calls on other connections are not affected.
+TEST_F(LinkTest, ClosesOnlyTheConnectionOfMalformedAnswer) {
   load();
   const std::pair<Spoil, Outcome> table[] = {{Spoil::kCheck, Outcome::kError},
                                              {Spoil::kMark, Outcome::kReset},
@@ -220,7 +222,7 @@
     invoker.spoil_next(spoil);
     call(cookie), call(cookie + 1), call(cookie + 2);
     net.run_for(300ms);
-    std::multiset<Outcome> met;  // connections are made in any order
+    std::multiset<Outcome> met;  // connections are chosen in any order
     for (std::uint64_t c = cookie; c < cookie + 3; ++c) met.insert(outcome(c));
     EXPECT_EQ(met, (std::multiset{Outcome::kOk, Outcome::kOk, expected})) << static_cast<int>(spoil);
     cookie += 10;
@@ -228,17 +230,17 @@
   EXPECT_TRUE(link.idle());
 }
 
-TEST_F(LinkTest, WhatSharesASpoiltConnectionMayHaveRun) {
+TEST_F(LinkTest, ReportsCallsOnMalformedConnectionAsMayHaveRun) {
   load();
-  budget.limit = 0, budget.reserve = 1;  // all on one
+  budget.limit = 0, budget.reserve = 1;  // one connection for all calls
   invoker.spoil_next(Spoil::kMark);
   call(1), call(2), call(3);
   net.run_for(300ms);
   for (std::uint64_t c = 1; c <= 3; ++c) EXPECT_EQ(outcome(c), Outcome::kReset);
 }
 
-// A process that dies ends all its connections; one that ends alone is a lost answer.
-TEST_F(LinkTest, OnlyTheEndOfAllConnectionsIsTheInvokersDeath) {
+// A crash closes all connections of the invoker; a single lost connection only means a lost answer.
+TEST_F(LinkTest, ReportsCrashWhenAllConnectionsClose) {
   load();
   call(1), call(2), call(3);
   net.run_for(15ms);
@@ -248,7 +250,7 @@
   EXPECT_TRUE(link.idle());
 }
 
-TEST_F(LinkTest, ACallWhoseConnectionBrokeCanStillBeForgotten) {
+TEST_F(LinkTest, ForgetsCallOnLostConnection) {
   load();
   invoker.spoil_next(Spoil::kReset);
   call(1), call(2);
@@ -259,11 +261,11 @@
   EXPECT_TRUE(link.idle());
 }
 
-TEST_F(LinkTest, HowLongAConnectionMayRestIsLearntAndFades) {
+TEST_F(LinkTest, LearnsIdleLimitAndRelaxesIt) {
   load();
   invoker.reset_rested(150ms);
   std::uint64_t cookie = 1;
-  const auto lost = [&](int rounds, Duration pause) {
+  const auto failed_calls = [&](int rounds, Duration pause) {
     int n = 0;
     for (int i = 0; i < rounds; ++i) {
       call(cookie), call(cookie + 1);
@@ -274,16 +276,16 @@
     }
     return n;
   };
-  EXPECT_GE(lost(2, 300ms), 1);
-  EXPECT_EQ(lost(20, 300ms), 0);  // all of these rested too long for it
-  EXPECT_LT(link.rest(), 300ms);
+  EXPECT_GE(failed_calls(2, 300ms), 1);
+  EXPECT_EQ(failed_calls(20, 300ms), 0);  // each pause exceeds the invoker's limit
+  EXPECT_LT(link.idle_limit(), 300ms);
   invoker.reset_rested(0ms);
   net.run_for(10min);
-  EXPECT_EQ(link.rest(), options.idle_timeout);
+  EXPECT_EQ(link.idle_limit(), options.idle_timeout);
 }
 
-// Connections are reset under calls by chance, too. One that came through a longer rest tells the two apart.
-TEST_F(LinkTest, AnEndByChanceIsNotTakenForABoundOnRests) {
+// Connections can also be reset by chance. A connection that survived a longer idle time tells the two apart.
+TEST_F(LinkTest, DoesNotLearnIdleLimitFromRandomReset) {
   load();
   call(1);
   net.run_for(500ms);
@@ -294,16 +296,16 @@
   call(3);
   net.run_for(60ms);
   EXPECT_NE(outcome(3), Outcome::kOk);
-  EXPECT_EQ(link.rest(), options.idle_timeout);
+  EXPECT_EQ(link.idle_limit(), options.idle_timeout);
 }
 
-TEST_F(LinkTest, WhatWaitsForAConnectionCanBeWithdrawn) {
+TEST_F(LinkTest, WithdrawsQueuedCalls) {
   call(1), call(2);
-  link.hold(kRow, 1, 7);
+  link.hold(kFunction, 1, 7);
   link.withdraw(1);
-  EXPECT_TRUE(ends.empty());  // never from within
+  EXPECT_TRUE(ends.empty());  // never from within a call into the link
   EXPECT_FALSE(link.idle());
-  EXPECT_TRUE(link.forget_call(2));  // nothing of it had left
+  EXPECT_TRUE(link.forget_call(2));  // nothing of it had been sent
   link.withdraw_waiting();
   net.run_for(200ms);
   EXPECT_EQ(outcome(1), Outcome::kMoot);
@@ -315,11 +317,11 @@
   EXPECT_TRUE(link.idle());
   call(3);
   net.run_for(1ms);
-  link.withdraw(3);  // it has left: its answer is waited for
+  link.withdraw(3);  // already sent, so its answer is awaited
   EXPECT_FALSE(link.forget_call(3));
 }
 
-TEST_F(LinkTest, MoreThanBelongsToAnAnswerIsPassedOver) {
+TEST_F(LinkTest, IgnoresDuplicateAndUnknownAnswers) {
   load();
   invoker.spoil_next(Spoil::kTwice), invoker.spoil_next(Spoil::kUnknownFirst);
   call(1);
@@ -332,15 +334,15 @@
   EXPECT_EQ(oddities, 2);
 }
 
-TEST_F(LinkTest, AnswersThatNobodyWaitsForEndTheConnectionInTheEnd) {
-  options.most_unknown = 3;
+TEST_F(LinkTest, ClosesConnectionAfterTooManyUnexpectedAnswers) {
+  options.max_unexpected_answers = 3;
   load();
   invoker.spoil_next(Spoil::kTwice, 4);
   for (std::uint64_t c = 1; c <= 4; ++c) call(c), net.run_for(100ms);
   EXPECT_EQ(link.connections(), 0U);
 }
 
-TEST_F(LinkTest, AConnectionThatLeftACallUnansweredGetsNothingNew) {
+TEST_F(LinkTest, RetiresConnectionOfUnansweredCall) {
   load();
   invoker.spoil_next(Spoil::kSilent);
   call(1);
@@ -349,11 +351,11 @@
   link.forget_call(1);
   net.run_for(10ms);
   EXPECT_EQ(link.connections(), before - 1);
-  EXPECT_EQ(invoker.connections(), before - 1);  // its end gives up what is open there
-  EXPECT_TRUE(ends[1].empty());                  // nobody waits
+  EXPECT_EQ(invoker.connections(), before - 1);  // closing it cancels what is open there
+  EXPECT_TRUE(ends[1].empty());                  // forgotten, so no end is reported
 }
 
-TEST_F(LinkTest, ASilentConnectionGetsNothingNewWhileItKeepsWhatIsOut) {
+TEST_F(LinkTest, AvoidsUnresponsiveConnectionButKeepsItsCalls) {
   load();
   invoker.spoil_next(Spoil::kSilent);
   call(1);
@@ -363,27 +365,27 @@
   net.run_for(100ms);
   EXPECT_EQ(outcome(2), Outcome::kOk);
   EXPECT_EQ(link.connections(), before + 1);
-  EXPECT_FALSE(link.idle());  // the first may still come
+  EXPECT_FALSE(link.idle());  // the first answer may still come
 }
 
-TEST_F(LinkTest, ADialThatFailsProvesThatNothingRan) {
+TEST_F(LinkTest, ReportsConnectFailedWhenDialFails) {
   invoker.stop();
   net.run_for(10ms);
-  call(1), link.hold(kRow, 1, 2);
+  call(1), link.hold(kFunction, 1, 2);
   net.run_for(10ms);
   EXPECT_EQ(outcome(1), Outcome::kConnectFailed);
   EXPECT_EQ(holds[2], (std::vector{std::pair(Outcome::kConnectFailed, 0)}));
 }
 
-TEST_F(LinkTest, AMachineThatIsCutOffIsDialledNoLongerThanTheSettingsSay) {
-  net.set_silent(kAt, true);
+TEST_F(LinkTest, GivesUpDialAfterTimeout) {
+  net.set_silent(kAddress, true);
   call(1);
   net.run_for(options.dial_timeout + 5ms);
   EXPECT_EQ(outcome(1), Outcome::kConnectFailed);
   EXPECT_EQ(budget.open, 0U);
 }
 
-TEST_F(LinkTest, ACancelBeforeTheConnectionStandsProvesThatNothingRan) {
+TEST_F(LinkTest, ReportsCancelBeforeConnectAsNeverRun) {
   call(1);
   link.cancel(1);
   net.run_for(100ms);
@@ -391,7 +393,7 @@
   EXPECT_TRUE(invoker.calls().empty());
 }
 
-TEST_F(LinkTest, ACancelGivesUpAtTheInvokerAndALateAnswerIsPassedOver) {
+TEST_F(LinkTest, CancelsAtInvokerAndIgnoresLateAnswer) {
   load();
   call(1);
   net.run_for(10ms);
@@ -401,7 +403,7 @@
   EXPECT_TRUE(invoker.calls()[0].given_up);
 }
 
-TEST_F(LinkTest, ACancelThatCrossesTheAnswerEndsTheCallOnce) {
+TEST_F(LinkTest, EndsCallOnceWhenCancelRacesAnswer) {
   load();
   call(1);
   net.run_until([&] { return invoker.calls().size() == 1; });
@@ -411,16 +413,16 @@
   EXPECT_EQ(ends[1].size(), 1U);
 }
 
-TEST_F(LinkTest, ASecondAttemptNeverTakesTheFirstOnesPlaceOnAConnection) {
+TEST_F(LinkTest, SendsSecondAttemptOnAnotherConnection) {
   load();
-  call(1, 77), call(2, 77);  // the same id at the same invoker
+  call(1, 77), call(2, 77);  // two attempts with one id at one invoker
   net.run_for(100ms);
   EXPECT_EQ(outcome(1), Outcome::kOk);
   EXPECT_EQ(outcome(2), Outcome::kOk);
   EXPECT_EQ(ends[2][0].body, "answer to body 2");
 }
 
-TEST_F(LinkTest, ACopyOfAnEarlierAnswerIsNotTakenForTheNextAttempts) {
+TEST_F(LinkTest, DoesNotTakeDuplicateAnswerForNextAttempt) {
   load();
   invoker.refuse_first(99);
   invoker.copy_at_next_attempt(true);
@@ -433,14 +435,14 @@
   EXPECT_EQ(invoker.copies_sent(), 1U);
 }
 
-TEST_F(LinkTest, AnIdNeverGoesTwiceOverAConnectionWhereConnectionsAreScarce) {
+TEST_F(LinkTest, NeverReusesIdOnConnectionWhenBudgetIsTight) {
   budget.limit = 1, budget.reserve = 0;
   invoker.answer_all(99);
   call(1, 77);
   net.run_for(50ms);
   EXPECT_EQ(outcome(1), Outcome::kMiss);
   const std::size_t made = invoker.connections_made();
-  call(2, 77);  // the resting connection has carried the id: it makes room for another
+  call(2, 77);  // the idle connection has carried the id and is replaced
   net.run_for(50ms);
   EXPECT_EQ(outcome(2), Outcome::kMiss);
   EXPECT_EQ(invoker.connections_made(), made + 1);
@@ -448,17 +450,17 @@
   load();
   call(3, 78);
   net.run_for(1ms);
-  call(4, 77);  // the one connection has carried it, and is in use
+  call(4, 77);  // the only connection has carried the id and is in use
   net.run_for(100ms);
   EXPECT_EQ(outcome(3), Outcome::kOk);
   EXPECT_EQ(outcome(4), Outcome::kFull);
   EXPECT_EQ(invoker.calls().size(), 3U);
 }
 
-TEST_F(LinkTest, AConnectionThatCarriedAsManyIdsAsItMayMakesWayForAnother) {
+TEST_F(LinkTest, ReplacesConnectionThatCarriedMaxIds) {
   load();
   const std::size_t made = invoker.connections_made();
-  for (std::uint64_t c = 1; c <= CarriedIds::kMost + 10; ++c) {
+  for (std::uint64_t c = 1; c <= CarriedIds::kCapacity + 10; ++c) {
     call(c);
     net.run_for(25ms);
     ASSERT_EQ(outcome(c), Outcome::kOk);
@@ -467,7 +469,7 @@
   EXPECT_EQ(link.connections(), 1U);
 }
 
-TEST_F(LinkTest, ConnectionsStayWithinTheBudgetAndACallPastItNeverRan) {
+TEST_F(LinkTest, EndsCallAsFullBeyondConnectionBudget) {
   load();
   options.streams = 2;
   budget.limit = 3, budget.reserve = 0;
@@ -476,11 +478,11 @@
   EXPECT_LE(budget.open, 3U);
   int full = 0;
   for (std::uint64_t c = 1; c <= 8; ++c) full += outcome(c) == Outcome::kFull;
-  EXPECT_EQ(full, 2);  // three connections of two each
+  EXPECT_EQ(full, 2);  // three connections with two streams each
   EXPECT_EQ(invoker.calls().size(), 6U);
 }
 
-TEST_F(LinkTest, IdleConnectionsGoBeforeTheInvokerEndsThem) {
+TEST_F(LinkTest, ClosesIdleConnectionsAfterTimeout) {
   load();
   call(1), call(2);
   net.run_for(100ms);
