--- a/src/platform/feed.cpp
+++ b/src/platform/feed.cpp
@@ -226,7 +226,7 @@
 }
 
 void EventSubscriber::on_silence_timeout() {
-  if (parser_.in_body()) return disconnect("the bus fell silent");
+  if (parser_.in_body()) return disconnect("silent");
   current_response_timeout_ = std::min(2 * current_response_timeout_, options_.max_response_timeout);
   disconnect("no response in time");
 }
