--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -285,8 +285,8 @@
   });
 }
 
-// A call that has been sent completely is left alone and its answer awaited. Only one that is still queued,
-// or whose bytes may still be in the send buffer, can be kept from the worker.
+// The answer to a call that has been sent completely can still be used, so it is awaited. Only a call that is
+// still queued, or whose bytes may still be in the send buffer, is kept from the worker.
 void Link::withdraw(std::uint64_t cookie) {
   const auto it = pending_.find({true, cookie});
   if (it == pending_.end() || !it->second.connection) return;
@@ -309,10 +309,10 @@
 
 // Drops a frame that was queued for the connection and reports its end.
 void Link::discard_queued(InvokerConnection& connection, std::uint64_t id) {
-  const auto sent = connection.in_flight.find(id);
-  if (sent == connection.in_flight.end()) return;
-  const auto pending = pending_.find(sent->second);
-  connection.in_flight.erase(sent);
+  const auto it = connection.in_flight.find(id);
+  if (it == connection.in_flight.end()) return;
+  const auto pending = pending_.find(it->second);
+  connection.in_flight.erase(it);
   if (pending == pending_.end()) return;
   const Pending entry = pending->second;
   pending_.erase(pending);
@@ -389,8 +389,8 @@
 }
 
 void Link::on_frame(InvokerConnection& connection, const Frame& frame) {
-  const auto sent = connection.in_flight.find(frame.id);
-  const auto pending = sent == connection.in_flight.end() ? pending_.end() : pending_.find(sent->second);
+  const auto it = connection.in_flight.find(frame.id);
+  const auto pending = it == connection.in_flight.end() ? pending_.end() : pending_.find(it->second);
   if (pending == pending_.end()) return on_unexpected_answer(connection, frame.id);
   const Pending entry = pending->second;
   const auto code = static_cast<Code>(frame.code);
@@ -402,7 +402,7 @@
                                   code == Code::kError || code == Code::kAlreadyOver;
   if (!expected)
     return close_connection(connection, Outcome::kReset, "an answer of a code that does not fit", frame.id);
-  connection.in_flight.erase(sent);
+  connection.in_flight.erase(it);
   pending_.erase(pending);
   note_idle_survived(connection.idle_time);
   if (connection.retired && connection.in_flight.empty())
