--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -88,11 +88,11 @@
     open = true;
     last_activity = link_.host_.now();
     timer_->stop();
-    const bool may_begin = link_.events_.may_begin(link_.worker_);
+    const bool may_start_work = link_.events_.may_start_work(link_.worker_);
     for (const auto& [id, queued_frame] : std::exchange(queued, {})) {
       const Key& key = in_flight.at(id);
-      const bool may_leave = !key.first || link_.events_.may_leave(link_.worker_, key.second);
-      if ((queued_frame.starts_work && !may_begin) || !may_leave)
+      const bool may_be_sent = !key.first || link_.events_.may_be_sent(link_.worker_, key.second);
+      if ((queued_frame.starts_work && !may_start_work) || !may_be_sent)
         link_.discard_queued(*this, id);
       else
         write_pending(id, queued_frame.frame);
@@ -135,9 +135,9 @@
     if (connection_->unsent() == 0) return unsent_calls_.clear();
     const bool late = std::any_of(unsent_calls_.begin(), unsent_calls_.end(), [this](std::uint64_t id) {
       const auto it = in_flight.find(id);
-      return it != in_flight.end() && !link_.events_.may_leave(link_.worker_, it->second.second);
+      return it != in_flight.end() && !link_.events_.may_be_sent(link_.worker_, it->second.second);
     });
-    if (late || !link_.events_.may_begin(link_.worker_)) return link_.force_close_later(*this);
+    if (late || !link_.events_.may_start_work(link_.worker_)) return link_.force_close_later(*this);
     unsent_timer_->start(kUnsentCheckInterval);
   }
   void on_timer() {
@@ -174,7 +174,7 @@
   if (note == "booted") return Found::kBeganLoad;
   if (note == "rode") return Found::kAwaitedLoad;
   if (note == "boot_error") return Found::kLoadFailed;
-  return Found::kUntold;
+  return Found::kNotReported;
 }
 
 }  // namespace
@@ -281,7 +281,7 @@
   abandon(key, false);
   defer([this, cookie, was_queued] {
     events_.on_call_end(worker_, cookie,
-                        {was_queued ? Outcome::kMoot : Outcome::kCancelled, {}, {}, {}, {}, {}});
+                        {was_queued ? Outcome::kNotRun : Outcome::kCancelled, {}, {}, {}, {}, {}});
   });
 }
 
@@ -293,7 +293,7 @@
   const bool was_queued = it->second.connection->queued.contains(it->second.id);
   if (!was_queued && it->second.connection->unsent() == 0) return;
   abandon({true, cookie}, false);
-  const Outcome outcome = was_queued ? Outcome::kMoot : Outcome::kCancelled;
+  const Outcome outcome = was_queued ? Outcome::kNotRun : Outcome::kCancelled;
   defer([this, cookie, outcome] { events_.on_call_end(worker_, cookie, {outcome, {}, {}, {}, {}, {}}); });
 }
 
@@ -317,7 +317,7 @@
   const Pending entry = pending->second;
   pending_.erase(pending);
   defer([this, entry] {
-    report_end(entry.cookie, entry.kind, entry.kind == Kind::kCall ? Outcome::kMoot : Outcome::kFull, "");
+    report_end(entry.cookie, entry.kind, entry.kind == Kind::kCall ? Outcome::kNotRun : Outcome::kFull, "");
   });
 }
 
@@ -412,7 +412,7 @@
   const Outcome outcome = code == Code::kOk || code == Code::kHealthy ? Outcome::kOk
                           : code == Code::kMiss                       ? Outcome::kMiss
                           : code == Code::kFull                       ? Outcome::kFull
-                          : code == Code::kAlreadyOver                ? Outcome::kMoot
+                          : code == Code::kAlreadyOver                ? Outcome::kNotRun
                                                                       : Outcome::kError;
   if (entry.kind == Kind::kProbe)
     return events_.on_probe_end(worker_, entry.cookie, outcome, report_of(frame.fields));
@@ -424,8 +424,8 @@
   worker::LinkEvents::CallEnd end;
   end.outcome = outcome;
   end.found = found_of(field(frame.fields, "note").value_or(""));
-  if (options_.tells_company)
-    end.company = static_cast<int>(
+  if (options_.reports_others_in_flight)
+    end.others_in_flight = static_cast<int>(
         std::clamp(parse_number(field(frame.fields, "ahead").value_or("0")).value_or(0), 0.0F, 1e6F));
   end.report = report_of(frame.fields);
   end.body = frame.body;
@@ -456,13 +456,13 @@
     const auto value = parse_number(pair.substr(colon + 1));
     if (named == options_.load.end() || !value) continue;
     switch (named->second) {
-      case LoadValue::kInHand: report.in_hand = value; break;
+      case LoadValue::kInHand: report.in_progress = value; break;
       case LoadValue::kWaiting: report.waiting = value; break;
       case LoadValue::kBusyCores: report.busy_cores = value; break;
       case LoadValue::kRunMs: report.run_ms = value; break;
       case LoadValue::kServed: report.served_per_s = value; break;
       case LoadValue::kErrors: report.errors_per_s = value; break;
-      case LoadValue::kMemory: report.memory_at_work = value; break;
+      case LoadValue::kMemory: report.memory_in_use = value; break;
       case LoadValue::kLoads: report.loads = value; break;
     }
   }
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -22,7 +22,7 @@
 // malformed.
 //
 // Calls queued for a connection that is still being opened are sent only if, once it is open, the worker may
-// still start new work (LinkEvents::may_begin) and the call may still be sent (may_leave). Bytes that the
+// still start new work (LinkEvents::may_start_work) and the call may still be sent (may_be_sent). Bytes that the
 // operating system has not accepted are checked again periodically; if they may no longer be sent, their
 // connection is closed, because they would be sent as soon as the worker reads again.
 //
@@ -68,7 +68,7 @@
   std::size_t max_connections = 16;
   std::size_t max_unexpected_answers = 64;
   std::vector<std::pair<std::string, LoadValue>> load;  // load report keys, as configured in the settings
-  bool tells_company = false;
+  bool reports_others_in_flight = false;
 };
 
 // The link to one invoker. See the head of this file.
