--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -22,8 +22,8 @@
 // malformed.
 //
 // Calls queued for a connection that is still being opened are sent only if, once it is open, the worker may
-// still start new work (LinkEvents::may_start_work) and the call may still be sent (may_be_sent). Bytes that the
-// operating system has not accepted are checked again periodically; if they may no longer be sent, their
+// still start new work (LinkEvents::may_start_work) and the call may still be sent (may_be_sent). Bytes that
+// the operating system has not accepted are checked again periodically; if they may no longer be sent, their
 // connection is closed, because they would be sent as soon as the worker reads again.
 //
 // An answer carries only the call's id, which all attempts of a call share, and may be delivered twice. An id
--- a/tests/platform/link_test.cpp
+++ b/tests/platform/link_test.cpp
@@ -105,9 +105,9 @@
   }
   void on_probe_end(WorkerId, std::uint64_t c, Outcome o, LoadReport) override { probes[c].push_back(o); }
   void on_oddity(WorkerId, const std::string&) override { ++oddities; }
-  bool may_start_work(WorkerId) override { return worker_may_begin; }
+  bool may_start_work(WorkerId) override { return worker_may_start_work; }
   bool may_be_sent(WorkerId, std::uint64_t cookie) override { return !withdrawn.contains(cookie); }
-  bool worker_may_begin = true;
+  bool worker_may_start_work = true;
   std::set<std::uint64_t> withdrawn;  // calls that may no longer be sent
 
   void call(std::uint64_t cookie, std::uint64_t id = 0) {
@@ -131,10 +131,10 @@
 };
 
 // While the connection is being opened, the worker may have begun to drain.
-TEST_F(LinkTest, DiscardsQueuedWorkIfWorkerMayNotBegin) {
+TEST_F(LinkTest, DiscardsQueuedWorkIfWorkerMayNotStartIt) {
   link.hold(kFunction, 1, 1), link.hold(kFunction, 0, 2), link.probe(3);
   call(4), call(5);
-  worker_may_begin = false;
+  worker_may_start_work = false;
   net.run_for(200ms);
   EXPECT_EQ(outcome(4), Outcome::kNotRun);
   EXPECT_EQ(outcome(5), Outcome::kNotRun);
@@ -148,7 +148,7 @@
   EXPECT_TRUE(link.idle());
 }
 
-TEST_F(LinkTest, DiscardsQueuedCallThatMayNoLongerLeave) {
+TEST_F(LinkTest, DiscardsQueuedCallThatMayNoLongerBeSent) {
   call(1), call(2);
   withdrawn = {1};
   net.run_for(200ms);
