--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -553,13 +553,13 @@
 
 const std::string* Core::function_name(FunctionId function) const {
   const auto it = function_names_.find(static_cast<std::uint64_t>(function));
-  return it == function_names_.end() ? nullptr : &it->second.text;
+  return it == function_names_.end() ? nullptr : &it->second.name;
 }
 
 void Core::remember_function_name(const config::Function& function) {
-  FunctionName& name = function_names_[static_cast<std::uint64_t>(function.id)];
-  name.used = host_.now();
-  if (name.text.empty()) name.text = function.name;
+  FunctionName& known = function_names_[static_cast<std::uint64_t>(function.id)];
+  known.last_used = host_.now();
+  if (known.name.empty()) known.name = function.name;
   if (function_names_.size() > options_.max_function_names) evict_function_names();
 }
 
@@ -568,20 +568,20 @@
 void Core::evict_function_names() {
   std::vector<Time> used;
   used.reserve(function_names_.size());
-  for (const auto& [id, name] : function_names_) used.push_back(name.used);
+  for (const auto& [id, name] : function_names_) used.push_back(name.last_used);
   const auto middle = used.begin() + static_cast<std::ptrdiff_t>(used.size() / 2);
   std::nth_element(used.begin(), middle, used.end());
   const Time limit = *middle;
-  std::erase_if(function_names_, [&](const auto& n) { return n.second.used < limit; });
+  std::erase_if(function_names_, [&](const auto& n) { return n.second.last_used < limit; });
   if (function_names_.size() > options_.max_function_names)  // all were last used at the same time
-    std::erase_if(function_names_, [&](const auto& n) { return n.second.used == limit; });
+    std::erase_if(function_names_, [&](const auto& n) { return n.second.last_used == limit; });
 }
 
 void Core::discard_unused() {
   prune_links();
   worker_list_.forget_gone([this](WorkerId id) { return links_.contains(id); });
   const Time old = host_.now() - kFunctionNameTtl;
-  std::erase_if(function_names_, [&](const auto& n) { return n.second.used < old; });
+  std::erase_if(function_names_, [&](const auto& n) { return n.second.last_used < old; });
 }
 
 // ---- Peers, logs, time --------------------------------------------------------------------------------
@@ -612,8 +612,8 @@
   add_timer(host_.now() + delay, TimerKind::kModule, token);
 }
 
-void Core::add_timer(Time at, TimerKind what, std::uint64_t token) {
-  timers_.push({at, timer_sequence_++, what, token});
+void Core::add_timer(Time at, TimerKind kind, std::uint64_t token) {
+  timers_.push({at, timer_sequence_++, kind, token});
   if (at < armed_for_) {
     armed_for_ = at;
     timer_->start(std::max(Duration(0), at - host_.now()));
@@ -645,7 +645,7 @@
 }
 
 void Core::on_timer(const TimerEntry& due) {
-  switch (due.what) {
+  switch (due.kind) {
     case TimerKind::kModule:
       notify_module([this, token = due.token](Time now) { module_->on(now, TimerFired{token}); });
       return;
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -96,8 +96,9 @@
   Core(io::Host& host, std::shared_ptr<const config::Settings> settings, CoreEvents& events, Options options);
   ~Core() override;
 
-  // Accepts the call and invokes `done` exactly once, within the call's timeout. If the call is rejected,
-  // returns the reason instead and never invokes `done`. `id`, if not null, receives the id for abandon().
+  // Accepts the call and, unless it is abandoned, invokes `done` exactly once, within the call's timeout. If
+  // the call is rejected, returns the reason instead and never invokes `done`. `id`, if not null, receives
+  // the id for abandon().
   std::optional<std::string> take(Call call, Done done, std::uint32_t* id = nullptr);
   // The client no longer waits: `done` is not invoked. Attempts already at a worker run to their end.
   void abandon(std::uint32_t id);
@@ -185,10 +186,10 @@
   enum class TimerKind : std::uint8_t { kModule, kDeadline, kAttemptTimeout, kOrderTimeout };
   struct TimerEntry {
     Time at;
-    std::uint64_t order;
-    TimerKind what;
+    std::uint64_t sequence;
+    TimerKind kind;
     std::uint64_t token;
-    bool operator<(const TimerEntry& o) const { return std::tie(o.at, o.order) < std::tie(at, order); }
+    bool operator<(const TimerEntry& o) const { return std::tie(o.at, o.sequence) < std::tie(at, sequence); }
   };
   using Calls = std::unordered_map<std::uint32_t, std::unique_ptr<OpenCall>>;
 
@@ -206,7 +207,7 @@
     inside_module_ = false;
   }
   void run_deferred_events();
-  void add_timer(Time at, TimerKind what, std::uint64_t token);
+  void add_timer(Time at, TimerKind kind, std::uint64_t token);
   void run_due_timers();
   void on_timer(const TimerEntry& due);
   CallEnd time_out_call(std::uint64_t cookie, WorkerId worker);
@@ -232,8 +233,8 @@
   std::int64_t started_unix_ms_;
   Duration wall_to_steady_offset_{};
   struct FunctionName {
-    std::string text;
-    Time used{};
+    std::string name;
+    Time last_used{};
   };
   std::unordered_map<std::uint64_t, FunctionName> function_names_;  // by function id, learned from calls
   Calls open_calls_;
--- a/tests/controller/claim_test.cpp
+++ b/tests/controller/claim_test.cpp
@@ -1,4 +1,4 @@
-// What a named request means, row by row, and how keys find their controllers.
+// Idempotency keys: the decision table, call ids, key ownership and header parsing.
 #include "controller/claim.h"
 
 #include <gtest/gtest.h>
@@ -43,7 +43,7 @@
   EXPECT_EQ(decide_on_key(&sent, "same", kKeyed, 3000).kind, K::kFail);
 }
 
-TEST(KeyDecision, IdsNameTheirOwner) {
+TEST(KeyDecision, CallIdContainsOwner) {
   const std::string id = call_id(12, std::string(16, '\xab'));
   EXPECT_EQ(id, "12-abababababababababababababababab");
   EXPECT_EQ(owner_of_id(id), 12U);
@@ -53,8 +53,8 @@
     EXPECT_FALSE(owner_of_id(bad)) << bad;
 }
 
-// A controller more moves only its own share of the keys.
-TEST(KeyDecision, KeysSpreadOverControllersAndMoveLittle) {
+// Rendezvous hashing: an added controller takes over only its own share of the keys.
+TEST(KeyDecision, AddingControllerMovesOnlyItsShareOfKeys) {
   std::map<std::uint32_t, int> count;
   int moved = 0;
   for (int i = 0; i < 10'000; ++i) {
@@ -71,7 +71,7 @@
   EXPECT_EQ(owner_of_key("t", "k", 1), 0U);
 }
 
-TEST(KeyDecision, KeysAsTheDraftHasThemAndBare) {
+TEST(KeyDecision, ParsesQuotedAndBareKeys) {
   EXPECT_EQ(parse_key("\"8e03\""), "8e03");
   EXPECT_EQ(parse_key(" bare "), "bare");
   EXPECT_EQ(parse_key(R"("a\"b\\")"), "a\"b\\");
--- a/tests/controller/gateway_test.cpp
+++ b/tests/controller/gateway_test.cpp
@@ -1,4 +1,4 @@
-// The whole path, in virtual time: what a message meets from the broker to a worker and back.
+// The gateway end to end in virtual time: messages from the broker to a worker and back.
 #include "town.h"
 
 namespace laureltide::test {
@@ -29,7 +29,7 @@
   EXPECT_EQ(town.outcome(name), "served");
 }
 
-TEST(Gateway, SeveralQueuesOfOneBroker) {
+TEST(Gateway, ServesSeveralQueuesOfOneBroker) {
   Town town(2, 1, [] {
     std::string text = settings_text();
     text.replace(text.find("[\"calls\"]"), 9, "[\"calls\", \"more\"]");
@@ -48,14 +48,14 @@
   EXPECT_EQ(town.ran("same"), 2U);
 }
 
-TEST(Gateway, SeveralBrokersInOneGateway) {
+TEST(Gateway, UnreachableBrokerDoesNotBlockAnother) {
   Town town(
       2, 1,
       settings("", "[[broker]]\nname = \"second\"\naddress = \"127.0.0.1:5673\"\nqueues = [\"calls\"]\n"));
   standin::Broker second(town.net, {}, town.tape);
   town.start();
   town.net.run_for(1s);
-  ASSERT_TRUE(town.wait_answer(town.call("echo")));  // one that cannot be reached holds up nothing
+  ASSERT_TRUE(town.wait_answer(town.call("echo")));  // the unreachable broker delays nothing
   ASSERT_TRUE(second.listen({"127.0.0.1", 5673}));
   second.declare_queue("calls");
   standin::Caller other(town.net, {{"127.0.0.1", 5673}, "other"}, town.tape);
@@ -78,20 +78,20 @@
   }
 }
 
-// ---- What cannot be a call ----------------------------------------------------------------------------
+// ---- Invalid messages ---------------------------------------------------------------------------------
 
-struct Odd {
+struct InvalidMessage {
   const char* what;
   std::function<void(amqp::Properties&, std::string&)> change;
   const char* reason;
 };
 
-TEST(Gateway, MessageThatCannotBeACallIsAnsweredRefusedOnce) {
-  const std::vector<Odd> odd = {
+TEST(Gateway, InvalidMessageIsRefusedOnce) {
+  const std::vector<InvalidMessage> cases = {
       {"unknown function", [](auto& p, auto&) { p.type = "nobody"; }, "unknown function"},
       {"no type", [](auto& p, auto&) { p.type.reset(); }, "type"},
       {"bad expiration", [](auto& p, auto&) { p.expiration = "0x10"; },
-       ""},  // the broker refuses it: no delivery
+       ""},  // the broker rejects it: no delivery
       {"tenant is a table", [](auto& p, auto&) { p.headers->set("tenant", amqp::Table{}); }, "header tenant"},
       {"unknown tenant", [](auto& p, auto&) { p.headers->set("tenant", std::string("x")); },
        "unknown tenant"},
@@ -99,7 +99,7 @@
       {"once without name", [](auto& p, auto&) { p.type = "gate", p.message_id.reset(); }, "message-id"},
       {"over-long body", [](auto&, auto& body) { body.assign(1'000'001, 'x'); }, "1000001 bytes"},
   };
-  for (const Odd& o : odd) {
+  for (const InvalidMessage& o : cases) {
     if (*o.reason == 0) continue;
     SCOPED_TRACE(o.what);
     Town town;
@@ -131,7 +131,7 @@
     EXPECT_EQ(town.outcome("odd"), "refused");
     EXPECT_NE(town.reason("odd").find(o.reason), std::string::npos) << town.reason("odd");
     EXPECT_TRUE(settled(town));
-    town.net.run_for(3s);  // it never comes again
+    town.net.run_for(3s);  // it is not redelivered
     EXPECT_EQ(town.answers("odd"), 1U);
     std::size_t given = 0;
     for (const auto& l : town.tape.lines) given += l.what == "delivered" && l.fields["queue"] == "calls";
@@ -140,12 +140,11 @@
   }
 }
 
-TEST(Gateway, BodyInManyFrames) {
+TEST(Gateway, AssemblesBodyFromManyFrames) {
   Town town(2, 1, settings("frame_max = 4096\n", ""), 3000);
   town.start();
   standin::CallToMake c;
-  // A smaller frame than any peer may ask for: 333 bytes a frame would be illegal, so the body is long
-  // instead.
+  // Frames may not be smaller than 4096 bytes, so a long body is used to get many frames.
   c.body.assign(999'999, 'z');
   const std::string name = town.call("echo", c);
   ASSERT_TRUE(town.wait_answer(name));
@@ -155,7 +154,7 @@
 
 // ---- The broker ---------------------------------------------------------------------------------------
 
-TEST(Gateway, ConnectionDropsWhileAGateReleaseIsOut) {
+TEST(Gateway, RedeliveredMessageJoinsOpenCallAfterConnectionLoss) {
   for (const char* mode : {"answers = \"transaction\"\n", "answers = \"confirm\"\n"})
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       Town town(2, seed, settings(mode));
@@ -173,8 +172,8 @@
     }
 }
 
-TEST(Gateway, ConnectionDropsAtAnyMomentOfACall) {
-  // The drop walks over the whole life of a call in small steps: before, while and after it runs and commits.
+TEST(Gateway, CallRunsAtMostOnceWhenConnectionDropsAtAnyMoment) {
+  // The connection drops at each of 120 points in time: before, while and after the call runs and commits.
   for (int step = 0; step < 120; ++step) {
     Town town(2, 3);
     town.start();
@@ -192,7 +191,7 @@
   }
 }
 
-TEST(Gateway, CommitThatIsLostOnItsWayBackIsNotAnsweredAgain) {
+TEST(Gateway, LostCommitOkDoesNotRepeatAnswer) {
   Town town;
   town.start();
   town.broker.lose_commits(1);
@@ -204,7 +203,7 @@
   EXPECT_TRUE(settled(town));
 }
 
-TEST(Gateway, CommitThatNeverArrivedIsMadeAgainWithTheSameAnswer) {
+TEST(Gateway, RejectedCommitIsRetriedWithSameAnswer) {
   Town town;
   town.start();
   town.broker.refuse_commits(1);
@@ -216,13 +215,13 @@
   EXPECT_EQ(town.ran(name), 1U);
 }
 
-TEST(Gateway, RedeliveredOnceCallOfAnotherLifeIsFailedNotRun) {
+TEST(Gateway, RedeliveredOnceCallFailsAfterRestartInsteadOfRunning) {
   Town town;
   town.start();
   town.worker(1).set_slow(50), town.worker(2).set_slow(50);
   const std::string gate = town.call("gate"), echo = town.call("echo");
   ASSERT_TRUE(town.net.run_until([&] { return town.ran(gate) == 1 && town.ran(echo) == 1; }));
-  town.gateway.reset();  // killed: nothing is said to anyone
+  town.gateway.reset();  // killed: nothing more is sent
   town.worker(1).set_slow(1), town.worker(2).set_slow(1);
   town.start_gateway(8);
   ASSERT_TRUE(town.wait_answer(gate));
@@ -233,14 +232,14 @@
   EXPECT_EQ(town.answers(gate), 1U);
 }
 
-TEST(Gateway, BrokerThatStopsReadingGetsNoMoreCallsTaken) {
+TEST(Gateway, StopsConsumingFromBrokerThatStopsReading) {
   Town town(2, 1, settings());
   town.start();
   town.broker.set_deaf(true, "gw-0");
   std::string body(900'000, 'b');
   for (int i = 0; i < 40; ++i) town.call("echo", {"", "", "", "", "", body, 30'000, true});
-  town.net.run_for(3s);  // shorter than the broker's patience without a heartbeat
-  // 40 answers of 900 kB wait in no transport: they stay here, and prefetch bounds them.
+  town.net.run_for(3s);  // shorter than the broker's heartbeat timeout
+  // 40 answers of 900 kB do not pile up in the transport: they wait in the gateway, bounded by prefetch.
   const std::size_t held = town.tape.count("answer");
   EXPECT_LE(town.net.unsent(town.broker_at), 6U << 20);
   town.broker.set_deaf(false, "gw-0");
@@ -249,7 +248,7 @@
   EXPECT_TRUE(settled(town));
 }
 
-TEST(Gateway, ChannelClosedWith406IsOpenedAgainAndNothingIsLost) {
+TEST(Gateway, ReopensChannelClosedWith406WithoutLosingCalls) {
   Town town;
   town.start();
   const std::string name = town.call("gate");
@@ -263,7 +262,7 @@
   EXPECT_EQ(town.ran(name), 1U);
 }
 
-TEST(Gateway, ConsumerCancelledByTheBrokerConsumesAgain) {
+TEST(Gateway, ConsumesAgainAfterBrokerCancelsConsumer) {
   Town town;
   town.start();
   town.broker.cancel_consumers("gw-0");
@@ -273,7 +272,7 @@
   EXPECT_EQ(town.outcome(name), "served");
 }
 
-TEST(Gateway, HeartbeatsStopAndTheConnectionIsGivenUp) {
+TEST(Gateway, ClosesConnectionWhenHeartbeatsStop) {
   Town town;
   town.start();
   const std::string name = town.call("gate");
@@ -293,7 +292,7 @@
   EXPECT_EQ(town.tape.count("disconnected"), 0U);
 }
 
-TEST(Gateway, FlowStopsAnswersUntilItIsGivenBack) {
+TEST(Gateway, ChannelFlowPausesAnswers) {
   Town town;
   town.start();
   town.broker.set_flow(false);
@@ -316,7 +315,7 @@
   EXPECT_TRUE(settled(town));
 }
 
-TEST(Gateway, AnswerWithoutAQueueIsToldAndTheMessageIsAcknowledged) {
+TEST(Gateway, UnroutableAnswerIsLoggedAndMessageAcknowledged) {
   Town town;
   town.start();
   struct Nowhere : standin::Caller {
@@ -332,7 +331,7 @@
   EXPECT_TRUE(settled(town));
 }
 
-TEST(Gateway, TenThousandCallsQueuedWhileItWasDown) {
+TEST(Gateway, ServesTenThousandCallsQueuedWhileDown) {
   Town town(4, 1, settings("", ""));
   town.caller =
       std::make_unique<standin::Caller>(town.net, standin::CallerOptions{town.broker_at}, town.tape);
@@ -358,7 +357,7 @@
   EXPECT_GT(served, 9'000U);
 }
 
-TEST(Gateway, RefusesOverItsBoundOfOpenCalls) {
+TEST(Gateway, RefusesCallsOverOpenCallLimit) {
   auto narrow = std::make_shared<config::Settings>(*settings());
   narrow->module.bounds.max_open = 3;
   Town town(1, 1, narrow);
@@ -373,13 +372,13 @@
 
 // ---- Workers ------------------------------------------------------------------------------------------
 
-TEST(Gateway, WorkerResetsAfterTakingACallAndBeforeAnswering) {
+TEST(Gateway, FailsOnceCallWhenWorkerResetsBeforeAnswering) {
   Town town;
   town.start();
   for (std::uint32_t id : {1, 2}) town.worker(id).take_and_reset(1000);
   const std::string gate = town.call("gate");
   ASSERT_TRUE(town.wait_answer(gate));
-  EXPECT_EQ(town.outcome(gate), "failed");  // it may have run: never again, never refused
+  EXPECT_EQ(town.outcome(gate), "failed");  // it may have run: neither retried nor refused
   EXPECT_EQ(town.tape.count("call", gate) - town.tape.count("answered", gate), 1U);
   for (std::uint32_t id : {1, 2}) town.worker(id).take_and_reset(0);
   const std::string echo = town.call("echo");
@@ -387,7 +386,7 @@
   EXPECT_EQ(town.outcome(echo), "served");
 }
 
-TEST(Gateway, WorkerBreaksOffInTheMiddleOfAnAnswer) {
+TEST(Gateway, FailsOnceCallWhenAnswerBreaksOff) {
   Town town;
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
@@ -400,7 +399,7 @@
   EXPECT_EQ(town.answers(gate), 1U);
 }
 
-TEST(Gateway, WorkerAnswersAfterTheDeadlineTwiceAndForACallNeverSent) {
+TEST(Gateway, IgnoresLateDuplicateAndUnknownAnswers) {
   Town town;
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
@@ -422,7 +421,7 @@
   EXPECT_TRUE(town.log.said("an answer to a call never sent"));
 }
 
-TEST(Gateway, TwoHundredCallsInFlightOnAConnectionThatDies) {
+TEST(Gateway, AnswersEachCallOnceWhenWorkerConnectionBreaks) {
   Town town(1);
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
@@ -437,7 +436,7 @@
   for (const std::string& name : names) {
     EXPECT_EQ(town.answers(name), 1U);
     EXPECT_LE(town.ran(name), 1U);
-    // A call that reached the worker may have run; one that did not is free to be refused or served.
+    // A call that reached the worker may have run; one that did not may be refused or served.
     if (town.outcome(name) == "refused") {
       EXPECT_EQ(town.ran(name), 0U);
     }
@@ -445,7 +444,7 @@
   EXPECT_TRUE(settled(town));
 }
 
-TEST(Gateway, ListSaysGoneWhileCallsAreOut) {
+TEST(Gateway, WorkerRemovedFromListFinishesItsCallsOnly) {
   Town town(2);
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
@@ -455,7 +454,7 @@
   ASSERT_TRUE(town.net.run_until([&] { return town.ran(name) == 1; }));
   town.say(1, WorkerState::kGone), town.say(2, WorkerState::kGone);
   ASSERT_TRUE(town.wait_answer(name));
-  EXPECT_EQ(town.outcome(name), "served");  // what is out is heard to its end
+  EXPECT_EQ(town.outcome(name), "served");  // calls in flight run to their end
   const std::size_t before = town.tape.count("call") + town.tape.count("hold");
   town.net.run_for(1100ms);
   const std::string none = town.call("gate");
@@ -464,18 +463,18 @@
   EXPECT_EQ(town.tape.count("call") + town.tape.count("hold"), before);  // rule 3
 }
 
-TEST(Gateway, ListThatGoesBackwardsIsPassedOver) {
+TEST(Gateway, IgnoresOlderWorkerList) {
   Town town(2);
   town.start();
   town.net.run_for(100ms);
-  town.list.send_old(1);  // an older list that knows of nobody
+  town.list.send_old(1);  // an older list without workers
   town.net.run_for(100ms);
   const std::string name = town.call("echo");
   ASSERT_TRUE(town.wait_answer(name));
   EXPECT_EQ(town.outcome(name), "served");
 }
 
-TEST(Gateway, ListServiceThatWasRebornIsHeard) {
+TEST(Gateway, AcceptsListsOfRestartedListService) {
   Town town(2);
   town.start();
   for (int i = 0; i < 20; ++i) town.say(2, WorkerState::kReady);
@@ -489,7 +488,7 @@
   EXPECT_EQ(town.outcome(name), "refused");
 }
 
-TEST(Gateway, GapInTheListAsksForAFullOne) {
+TEST(Gateway, RequestsFullWorkerListAfterGap) {
   Town town(2);
   town.start();
   town.net.run_for(50ms);
@@ -501,7 +500,7 @@
   EXPECT_EQ(town.outcome(name), "refused");
 }
 
-TEST(Gateway, GarbageFromTheListServiceLosesNothing) {
+TEST(Gateway, IgnoresGarbageFromListService) {
   Town town(2);
   town.start();
   town.net.run_for(50ms);
@@ -515,8 +514,9 @@
   EXPECT_EQ(town.outcome(name), "served");
 }
 
-TEST(Gateway, DrainNoticeWithOrdersAndCallsQueued) {
-  // The worker says that nothing above the last id was taken: what was on its way is proven not to have run.
+TEST(Gateway, DrainingWorkerGetsNothingNewAndCallsRunOnce) {
+  // The worker's drain notice names the last id it accepted: calls still in transit are known not to have
+  // run.
   Town town(1);
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
@@ -547,13 +547,13 @@
   EXPECT_EQ(after, at_one);  // rule 3
 }
 
-TEST(Gateway, AllWorkersDownAtTheStart) {
+TEST(Gateway, RefusesWhileAllWorkersAreDownThenRecovers) {
   Town town(2);
   town.worker(1).crash(), town.worker(2).crash();
   town.start();
   const std::string name = town.call("gate");
   ASSERT_TRUE(town.wait_answer(name));
-  EXPECT_EQ(town.outcome(name), "refused");  // no connection was ever made: it did not run
+  EXPECT_EQ(town.outcome(name), "refused");  // no connection was made, so it did not run
   town.worker(1).listen(Town::worker_at(1));
   town.net.run_for(3s);
   const std::string later = town.call("gate");
@@ -561,7 +561,7 @@
   EXPECT_EQ(town.outcome(later), "served");
 }
 
-TEST(Gateway, WallClockJumpsChangeNothing) {
+TEST(Gateway, IgnoresWallClockJumps) {
   auto with_cold_rule = std::make_shared<config::Settings>(*settings());
   with_cold_rule->module.rules.cold_from = 0.01, with_cold_rule->module.rules.cold_for = 20s;
   with_cold_rule->module.rules.fall_multiple = 1, with_cold_rule->module.rules.overload_for = 1s;
@@ -571,7 +571,7 @@
   town.start();
   ASSERT_TRUE(town.wait_answer(town.call("gate")));
   town.net.wall_shift_ms = -86'400'000;
-  town.say(1, WorkerState::kReady, started);  // the same start: no restart, so it is not cold
+  town.say(1, WorkerState::kReady, started);  // same start time: not a restart, so the worker is not cold
   town.net.run_for(20ms);
   std::vector<std::string> names;
   for (int i = 0; i < 4; ++i) names.push_back(town.call("gate"));
@@ -583,13 +583,13 @@
   }
 }
 
-TEST(Gateway, RestartThatTheListTellsCostsNoCall) {
+TEST(Gateway, DropsIdleLinkWhenListReportsRestart) {
   Town town(1);
   town.say(1, WorkerState::kReady, town.net.unix_ms() - 1000);
   town.start();
   ASSERT_TRUE(town.wait_answer(town.call("gate")));
-  // The machine vanished and came back: the old connection stands at our end, and its first write meets a
-  // reset.
+  // The machine vanished and came back: the old connection still looks open here, but its first write would
+  // be reset.
   const std::size_t before = town.worker(1).sessions();
   town.say(1, WorkerState::kReady, town.net.unix_ms());
   town.net.run_for(100ms);
@@ -599,7 +599,7 @@
   EXPECT_EQ(town.outcome(name), "served");
 }
 
-TEST(Gateway, SilentWorkerHoldsACallOnlyUntilItsDeadline) {
+TEST(Gateway, UnresponsiveWorkerHoldsCallOnlyUntilDeadline) {
   Town town(2);
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
@@ -614,7 +614,7 @@
   EXPECT_EQ(town.answers(name), 1U);
 }
 
-TEST(Gateway, RequestIdsWrapWithACallStillOpen) {
+TEST(Gateway, RequestIdsWrapAround) {
   Town town(2);
   town.first_request_id = 0xffffffffU - 3;
   town.start();
@@ -629,16 +629,16 @@
   EXPECT_EQ(town.gateway->core().open(), 0U);
 }
 
-TEST(Gateway, IdOfAnOpenCallIsNotGivenAgain) {
+TEST(Gateway, IdOfOpenCallIsNotReused) {
   Town town(2);
   town.first_request_id = 0xffffffffU;
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});  // takes the last id
   ASSERT_TRUE(town.wait_answer("first"));
   town.worker(1).set_slow(60), town.worker(2).set_slow(60);
-  const std::string slow = town.call("gate", {"", "", "", "", "", "", 20'000, true});  // id 1, and stays open
+  const std::string slow = town.call("gate", {"", "", "", "", "", "", 20'000, true});  // id 1, stays open
   ASSERT_TRUE(town.net.run_until([&] { return town.ran(slow) == 1; }));
-  town.gateway->core().set_next_request_id(0);  // 0 names no call, 1 is open
+  town.gateway->core().set_next_request_id(0);  // 0 is not a valid id, 1 is open
   town.worker(1).set_slow(1), town.worker(2).set_slow(1);
   const std::string quick = town.call("gate");
   ASSERT_TRUE(town.wait_answer(quick));
@@ -648,13 +648,13 @@
   EXPECT_EQ(town.caller->answers().find(quick)->second.body, "payload of " + quick);
 }
 
-// A worker whose answers a test writes itself.
-struct Puppet : worker::SessionEvents {
+// A worker whose answers the test writes.
+struct ScriptedWorker : worker::SessionEvents {
   sim::Network& net;
   std::unique_ptr<io::Listener> listener;
   std::vector<std::unique_ptr<worker::Session>> sessions;
   std::vector<std::pair<worker::Session*, worker::Call>> calls;
-  explicit Puppet(sim::Network& n) : net(n) {
+  explicit ScriptedWorker(sim::Network& n) : net(n) {
     listener = net.listen(Town::worker_at(1), {}, [this](std::unique_ptr<io::Connection> c) {
       worker::Hello h;
       h.id = 1;
@@ -691,7 +691,7 @@
 name = "feed"
 class = "stream"
 )")};
-  Puppet worker{town.net};
+  ScriptedWorker worker{town.net};
   void SetUp() override {
     town.say(1, WorkerState::kReady);
     town.start();
@@ -700,9 +700,9 @@
   }
 };
 
-TEST_F(Streaming, PiecesMakeTheResultAlsoPastTheDeadline) {
+TEST_F(Streaming, AssemblesResultFromPiecesPastDeadline) {
   worker.piece("one,");
-  town.net.run_for(3s);  // a begun stream is bound to no deadline
+  town.net.run_for(3s);  // a started stream has no deadline
   EXPECT_EQ(town.answers("s"), 0U);
   worker.piece("two,");
   worker.end("three");
@@ -712,7 +712,7 @@
   EXPECT_EQ(town.gateway->core().open(), 0U);
 }
 
-TEST_F(Streaming, BrokenStreamIsFailedAndNotSentAgain) {
+TEST_F(Streaming, BrokenStreamFailsWithoutRetry) {
   worker.piece("one,");
   town.net.run_for(10ms);
   worker.calls.back().first->abort();
@@ -723,7 +723,7 @@
   EXPECT_EQ(town.gateway->core().open(), 0U);
 }
 
-TEST_F(Streaming, EndlessStreamIsBounded) {
+TEST_F(Streaming, EndlessStreamTimesOut) {
   worker.piece("one,");
   ASSERT_TRUE(town.wait_answer("s", 70s));
   EXPECT_EQ(town.outcome("s"), "failed");
@@ -732,7 +732,7 @@
   EXPECT_EQ(town.gateway->core().open(), 0U);
 }
 
-TEST_F(Streaming, ResultOverTheBoundIsFailed) {
+TEST_F(Streaming, OversizedResultFails) {
   for (int i = 0; i < 12; ++i) worker.piece(std::string(100'000, 'x'));
   worker.end("");
   ASSERT_TRUE(town.wait_answer("s"));
@@ -742,7 +742,7 @@
 
 // ---- Starting and stopping ----------------------------------------------------------------------------
 
-TEST(Gateway, CachedListServesBeforeTheServiceIsHeard) {
+TEST(Gateway, ServesFromCachedWorkerListBeforeServiceResponds) {
   Town first(2);
   first.start();
   ASSERT_TRUE(first.net.run_until([&] { return !first.log.kept_list.empty(); }));
@@ -762,7 +762,7 @@
   EXPECT_EQ(town.outcome(name), "served");
 }
 
-TEST(Gateway, DrainAnswersAllThatWasTakenAndTakesNoMore) {
+TEST(Gateway, DrainAnswersAcceptedCallsAndAcceptsNoNewOnes) {
   Town town(2);
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
@@ -774,7 +774,7 @@
   std::optional<bool> all;
   const std::string after = town.call("echo");
   ASSERT_TRUE(town.net.run_until([&] { return town.tape.count("delivered", after) == 1; }));
-  town.gateway->drain([&](bool well) { all = well; });  // while that message is on its way here
+  town.gateway->drain([&](bool well) { all = well; });  // while that message is in transit
   ASSERT_TRUE(town.net.run_until([&] { return all.has_value(); }));
   EXPECT_EQ(town.tape.count("call", after), 0U);
   EXPECT_TRUE(*all);
@@ -785,13 +785,13 @@
   town.gateway.reset();
   town.net.run_for(100ms);
   EXPECT_EQ(town.answers(after), 0U);
-  EXPECT_EQ(town.broker.depth("calls"), 1U);  // for whoever comes next
+  EXPECT_EQ(town.broker.depth("calls"), 1U);  // left for the next consumer
   town.worker(1).set_slow(1), town.worker(2).set_slow(1);
   town.start_gateway(9);
   EXPECT_TRUE(town.wait_answer(after));
 }
 
-TEST(Gateway, ReloadTakesNewFunctionsAndBrokersAndKeepsTheRest) {
+TEST(Gateway, ReloadAppliesNewFunctionsAndIgnoresChangedBounds) {
   Town town(2);
   town.start();
   auto more =
@@ -811,7 +811,7 @@
   EXPECT_EQ(town.outcome(name), "served");
 }
 
-TEST(Gateway, ReloadLeavesABrokerOnceItHasItsAnswers) {
+TEST(Gateway, ReloadDisconnectsRemovedBrokerAfterItsAnswers) {
   Town town(2);
   town.start();
   ASSERT_TRUE(town.wait_answer(town.call("gate")));
@@ -826,7 +826,7 @@
   ASSERT_TRUE(town.net.run_until([&] { return town.broker.connections() == 1; }, 5s));  // the caller's
 }
 
-TEST(Gateway, PeersHearOfEachOther) {
+TEST(Gateway, PeersConnectAndIgnoreGarbage) {
   auto with_peers = [](std::uint32_t me) {
     auto s = std::make_shared<config::Settings>(*settings());
     s->module.me = me, s->module.replicas = 2, s->module.bounds.peers = true;
@@ -843,7 +843,7 @@
   town.net.run_for(10s);
   EXPECT_GE(town.net.connections({"127.0.0.1", 7300}), 1U);
   EXPECT_GE(town.net.connections({"127.0.0.1", 7301}), 1U);
-  // Garbage on the peers' port ends that connection and nothing else.
+  // Garbage on the peer port only closes that connection.
   struct Noise : io::ConnectionEvents {
     bool closed = false;
     std::unique_ptr<io::Connection> c;
@@ -857,11 +857,11 @@
   ASSERT_TRUE(town.wait_answer(name));
 }
 
-// ---- The same day, any interleaving ---------------------------------------------------------------------
+// ---- Random faults and interleavings -------------------------------------------------------------------
 
-class AnyInterleaving : public testing::TestWithParam<int> {};
+class RandomFaults : public testing::TestWithParam<int> {};
 
-TEST_P(AnyInterleaving, TroubleOfAllKindsKeepsOneAnswerAndNoEffectTwice) {
+TEST_P(RandomFaults, EachCallHasOneAnswerAndRunsAtMostOnce) {
   const auto seed = static_cast<std::uint64_t>(GetParam());
   Town town(4, seed, settings(seed % 2 ? "" : "answers = \"confirm\"\n"), seed % 3 == 0 ? 700 : 0);
   town.start();
@@ -906,7 +906,7 @@
   town.net.run_for(5s);
   const bool confirms = seed % 2 == 0;
   for (const std::string& name : names) {
-    // With confirms an answer whose confirm was lost leaves again with the redelivery: the same answer.
+    // In confirm mode an answer whose confirm was lost is published again on redelivery, unchanged.
     EXPECT_GE(town.answers(name), 1U);
     EXPECT_TRUE(confirms || town.answers(name) == 1) << name << " " << town.answers(name);
     const auto [first, last] = town.caller->answers().equal_range(name);
@@ -926,7 +926,7 @@
   EXPECT_EQ(town.gateway->core().open(), 0U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, AnyInterleaving, testing::Range(1, 61));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, testing::Range(1, 61));
 
 }  // namespace
 }  // namespace laureltide::test
--- a/tests/controller/intake_test.cpp
+++ b/tests/controller/intake_test.cpp
@@ -1,4 +1,4 @@
-// The intake's table, row by row, and drawn histories against what a broker may do.
+// Message deduplication: the verdict table, and random histories of broker behaviour.
 #include "controller/intake.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
     kRepeatable{Semantics::kRepeatable, {}, 0};
 const Answer kServed{Answer::Kind::kServed, "", "result", {}, {}};
 
-TEST(Intake, UnknownNames) {
+TEST(Intake, RunsOrFailsUnknownNames) {
   Intake in({});
   EXPECT_EQ(in.deliver("a", d(1, 1), false, kOnce, kNow).verdict, Verdict::kRun);
   EXPECT_EQ(in.deliver("b", d(1, 2), true, kRepeatable, kNow).verdict, Verdict::kRun);
@@ -26,11 +26,11 @@
   EXPECT_EQ(in.names(), 2U);
 }
 
-TEST(Intake, OpenOnesAreJoinedAndAnsweredWhereTheyStand) {
+TEST(Intake, MessagesOfOpenCallJoinAndAreAllAnswered) {
   Intake in({});
   in.deliver("a", d(1, 1), false, kOnce, kNow);
   EXPECT_EQ(in.deliver("a", d(2, 7), true, kOnce, kNow).verdict,
-            Verdict::kJoin);  // in place of the lost one
+            Verdict::kJoin);  // replaces the lost delivery
   EXPECT_EQ(in.deliver("a", d(2, 8), false, kOnce, kNow).verdict, Verdict::kJoin);  // another message
   const auto standing = in.record_answer("a", kServed, 2, kNow);
   ASSERT_EQ(standing.size(), 2U);
@@ -42,7 +42,7 @@
   EXPECT_EQ(in.names(), 0U);
 }
 
-TEST(Intake, AnswerWaitsForTheMessageToComeAgain) {
+TEST(Intake, AnswerWaitsForRedelivery) {
   Intake in({});
   in.deliver("a", d(1, 1), false, kOnce, kNow);
   EXPECT_TRUE(in.record_answer("a", kServed, 2, kNow).empty());  // its epoch is over
@@ -55,7 +55,7 @@
   EXPECT_EQ(in.names(), 0U);
 }
 
-TEST(Intake, UnsureAcknowledgementsAreRepeatedNotTheAnswer) {
+TEST(Intake, UnconfirmedAcknowledgementIsRepeatedWithoutAnswer) {
   Intake in({});
   in.deliver("a", d(1, 1), false, kOnce, kNow);
   in.record_answer("a", kServed, 1, kNow);
@@ -65,10 +65,10 @@
   in.record_answer("b", kServed, 1, kNow);
   in.on_acknowledged("b", 1, 2, false);
   EXPECT_EQ(in.deliver("b", d(2, 2), false, kOnce, kNow).verdict,
-            Verdict::kRun);  // a new message of an old name
+            Verdict::kRun);  // a new message that reuses an old name
 }
 
-TEST(Intake, BoundsAreKept) {
+TEST(Intake, NamesAndJoinedMessagesAreBounded) {
   Intake in({3, 10s, 2, nullptr, ""});
   in.deliver("j", d(1, 1), false, kOnce, kNow);
   in.deliver("j", d(1, 2), false, kOnce, kNow);
@@ -81,12 +81,12 @@
   EXPECT_LE(in.names(), 5U);
   EXPECT_TRUE(in.is_open("j"));  // an open call is never dropped
   in.deliver("last", d(1, 11), false, kOnce, kNow + 60s);
-  EXPECT_LE(in.names(), 2U);  // the answers are too old now
+  EXPECT_LE(in.names(), 2U);  // the answers have expired
 }
 
-// A broker, a queue of messages, crashes of connections: whatever the order, a once call runs at most once in
-// this life and every message is answered exactly once in transaction mode.
-TEST(Intake, DrawnHistories) {
+// Random deliveries, commits and connection losses: in transaction mode each once call runs exactly once and
+// each message is answered exactly once.
+TEST(Intake, RandomHistoriesAnswerEachMessageOnce) {
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
     std::mt19937_64 random(seed);
     Intake in({});
@@ -108,7 +108,7 @@
     for (int step = 0; step < 2000 && !done(); ++step) {
       now += 1ms;
       switch (random() % 8) {
-        case 0:  // the connection breaks; perhaps the commit arrived and only its answer is lost
+        case 0:  // the connection breaks; the commit may have arrived with only its reply lost
           if (random() % 2)
             for (const auto& [name, t] : uncommitted) queue[name].gone = true, ++queue[name].answers;
           uncommitted.clear();
@@ -118,7 +118,7 @@
           break;
         case 1:
         case 2:
-        case 3: {  // the broker gives a message
+        case 3: {  // the broker delivers a message
           for (auto& [name, m] : queue) {
             if (m.out || m.gone) continue;
             m.out = true, m.epoch = epoch, m.tag = ++tag;
@@ -144,7 +144,7 @@
               uncommitted.emplace_back(name, each.tag);
           }
           break;
-        default:  // the broker has the commit, and says so
+        default:  // the broker confirms the commit
           for (const auto& [name, t] : uncommitted) {
             queue[name].gone = true, ++queue[name].answers;
             in.on_acknowledged(name, epoch, t, true);
--- a/tests/controller/invoke_test.cpp
+++ b/tests/controller/invoke_test.cpp
@@ -1,5 +1,5 @@
-// The invoke API on the whole path, in virtual time: every kind of call, every crash, every status as
-// described.
+// The invoke API end to end in virtual time: all kinds of calls, crashes at every ledger step, and every
+// documented status.
 #include <fstream>
 #include <set>
 #include <sstream>
@@ -32,7 +32,7 @@
          hex(controller::sha256("secret-gulf")) + "\"\n" + more;
 }
 
-// Every (operation, status) that any test saw, held against the description at the end.
+// Every (operation, status) that the tests observed; compared with the OpenAPI document at the end.
 std::set<std::pair<std::string, int>>& seen() {
   static std::set<std::pair<std::string, int>> all;
   return all;
@@ -67,7 +67,7 @@
       if (!v.empty()) r.headers.add(n, v);
     return r;
   }
-  // Asks, and goes on through crashes; a lost connection ends it with status 0.
+  // Sends a request and restarts the gateway when it crashes; status 0 means that the connection was lost.
   Result ask(const std::string& method, const std::string& target, const Fields& fields = {},
              const std::string& body = "", Duration within = 30s) {
     std::optional<Result> got;
@@ -138,7 +138,7 @@
   EXPECT_EQ(town.log.calls.size(), 3U);
 }
 
-TEST(Invoke, NoKeyNoCall) {
+TEST(Invoke, RequiresTenantsBearerToken) {
   HttpTown town;
   for (const char* authorization :
        {" ", "Bearer", "Bearer ", "Bearer wrong", "Basic secret-volta", "secret-volta", "Bearer secret-volt",
@@ -157,7 +157,7 @@
   EXPECT_EQ(town.runs(), 1U);
 }
 
-TEST(Invoke, WhatDoesNotFitIsSaid) {
+TEST(Invoke, ReportsInvalidRequests) {
   HttpTown town;
   const std::vector<std::tuple<std::string, Fields, int, std::string>> bad{
       {"nobody", {}, 404, "unknown function: nobody"},
@@ -193,14 +193,14 @@
   EXPECT_EQ(town.runs(), 0U);
 }
 
-TEST(Invoke, WithoutALedgerOnlyPlainCalls) {
+TEST(Invoke, AcceptsOnlyPlainCallsWithoutLedger) {
   HttpTown town(1, "", "", false);
   EXPECT_EQ(town.call("echo").status, 200);
   EXPECT_EQ(town.call("echo", {{"Idempotency-Key", "a"}}).status, 501);
   EXPECT_EQ(town.call("echo", {{"Prefer", "respond-async"}}).status, 501);
 }
 
-TEST(Invoke, DeferredCallsAreAskedFor) {
+TEST(Invoke, DeferredAnswerCanBePolled) {
   HttpTown town;
   const Result taken = town.call("gate", {{"Prefer", "respond-async"}});
   ASSERT_EQ(taken.status, 202);
@@ -208,22 +208,23 @@
   EXPECT_EQ(json::parse(taken.body)["state"], "open");
   const std::string where = town.field(taken, "Location");
   EXPECT_EQ(town.ask("GET", where).status, 202);
-  EXPECT_EQ(town.ask("GET", where, {{"Authorization", "Bearer secret-gulf"}}).status, 404);  // open or not
+  EXPECT_EQ(town.ask("GET", where, {{"Authorization", "Bearer secret-gulf"}}).status,
+            404);  // also while it is open
   EXPECT_EQ(town.ask("DELETE", where).status, 409);
   const Result got = town.poll(where);
   EXPECT_EQ(got.status, 200);
   EXPECT_EQ(got.body, "payload");
   EXPECT_EQ(town.ask("HEAD", where).body, "");
-  EXPECT_EQ(town.ask("GET", where).status, 200);  // as often as one likes
+  EXPECT_EQ(town.ask("GET", where).status, 200);  // repeatable
   EXPECT_EQ(town.ask("GET", where, {{"Authorization", "Bearer secret-gulf"}}).status,
-            404);  // another tenant's
+            404);  // another tenant's call
   EXPECT_EQ(town.ask("DELETE", where, {{"Authorization", "Bearer secret-gulf"}}).status, 404);
   EXPECT_EQ(town.ask("DELETE", where).status, 204);
   EXPECT_EQ(town.ask("GET", where).status, 404);
   EXPECT_EQ(town.runs(), 1U);
 }
 
-TEST(Invoke, PreferWaitAnswersAtOnceWhatIsSoonThere) {
+TEST(Invoke, PreferWaitReturnsAnswerWithinWait) {
   HttpTown town;
   EXPECT_EQ(town.call("echo", {{"Prefer", "respond-async, wait=5"}}).status, 200);
   town.worker(1).set_silent(true), town.worker(2).set_silent(true);
@@ -232,7 +233,7 @@
   EXPECT_GE(town.net.now() - before, 1s);
 }
 
-TEST(Invoke, DeferredAnswersAreKeptSoLong) {
+TEST(Invoke, DeferredAnswerExpires) {
   HttpTown town(1, "keep_s = 30\n");
   const std::string where = town.field(town.call("echo", {{"Prefer", "respond-async"}}), "Location");
   EXPECT_EQ(town.poll(where).status, 200);
@@ -243,7 +244,7 @@
   EXPECT_EQ(town.book->records(), 0U);
 }
 
-TEST(Invoke, ATenantsDeferredCallsAreBounded) {
+TEST(Invoke, DeferredCallsAreLimitedByTenant) {
   HttpTown town(1, "most_deferred = 3\n");
   for (int i = 0; i < 3; ++i) EXPECT_EQ(town.call("echo", {{"Prefer", "respond-async"}}).status, 202);
   const Result r = town.call("echo", {{"Prefer", "respond-async"}});
@@ -251,14 +252,14 @@
   EXPECT_EQ(town.field(r, "Retry-After"), "1");
   EXPECT_EQ(town.call("echo", {{"Prefer", "respond-async"}, {"Authorization", "Bearer secret-gulf"}}).status,
             202);
-  EXPECT_EQ(town.call("echo").status, 200);  // plain calls hold nothing
+  EXPECT_EQ(town.call("echo").status, 200);  // plain calls have no record
   HttpTown large(1, "most_deferred_mb = 1\n");
   EXPECT_EQ(large.call("echo", {{"Prefer", "respond-async"}}, std::string(900'000, 'x')).status, 202);
   EXPECT_EQ(large.call("echo", {{"Prefer", "respond-async"}}, std::string(900'000, 'x')).status, 202);
   EXPECT_EQ(large.call("echo", {{"Prefer", "respond-async"}}).status, 429);
 }
 
-TEST(Invoke, ARepeatFindsItsFirstAnswer) {
+TEST(Invoke, RepeatedKeyReturnsFirstAnswer) {
   HttpTown town;
   const Fields key{{"Idempotency-Key", "\"pay-17\""}};
   const Result first = town.call("gate", key), again = town.call("gate", key);
@@ -272,14 +273,14 @@
   const Result other = town.call("gate", key, "another body");
   EXPECT_EQ(other.status, 422);
   EXPECT_EQ(town.call("echo", key).status, 422);
-  // Another tenant's key of the same text is another key.
+  // Keys are separate for each tenant.
   EXPECT_EQ(
       town.call("gate", {{"Idempotency-Key", "\"pay-17\""}, {"Authorization", "Bearer secret-gulf"}}).status,
       200);
   EXPECT_EQ(town.runs(), 2U);
 }
 
-TEST(Invoke, ARepeatWhileTheFirstIsOpenWaitsForIt) {
+TEST(Invoke, RepeatedKeyJoinsOpenCall) {
   HttpTown town;
   std::vector<Result> got;
   std::vector<std::unique_ptr<http::Exchange>> out;
@@ -295,13 +296,13 @@
   ASSERT_TRUE(town.net.run_until([&] { return got.size() == 19; }));
   std::map<int, int> statuses;
   for (const Result& r : got) ++statuses[r.status], HttpTown::note("POST", request.target, r.status);
-  // Whoever comes first sets the request; whichever that is, one ran.
+  // The first request to arrive determines the body for the key; exactly one call ran.
   EXPECT_EQ(town.runs(), 1U);
   EXPECT_EQ(statuses[200], statuses[422] == 18 ? 1 : 16);
   EXPECT_EQ(statuses[429], statuses[422] == 18 ? 0 : 2);
 }
 
-TEST(Invoke, WhatWasRefusedRunsUnderTheSameKey) {
+TEST(Invoke, RefusedCallRunsAgainWithSameKey) {
   HttpTown town;
   town.worker(1).set_full(true), town.worker(2).set_full(true);
   const Fields key{{"Idempotency-Key", "k"}, {"Call-Deadline-Ms", "500"}};
@@ -314,7 +315,7 @@
   EXPECT_EQ(town.runs(), 1U);
 }
 
-TEST(Invoke, WhatFailedStaysFailed) {
+TEST(Invoke, FailedCallStaysFailed) {
   HttpTown town;
   town.worker(1).fail_class("release", true), town.worker(2).fail_class("release", true);
   const Fields key{{"Idempotency-Key", "k"}};
@@ -326,7 +327,7 @@
   EXPECT_EQ(town.runs(), 1U);
 }
 
-TEST(Invoke, AClientThatGoesAwayIsNotWaitedFor) {
+TEST(Invoke, AbandonsPlainCallOfDisconnectedClient) {
   HttpTown town;
   town.worker(1).set_full(true), town.worker(2).set_full(true);
   for (const bool named : {false, true}) {
@@ -339,7 +340,7 @@
       EXPECT_EQ(town.gateway->core().open(), 1U);
     }
     town.net.run_for(50ms);
-    // A named call can be asked for again: it goes on.
+    // A named call can be asked for again, so it continues.
     EXPECT_EQ(town.gateway->core().open(), named ? 1U : 0U);
   }
   EXPECT_EQ(town.gateway->core().counters().abandoned, 1U);
@@ -347,9 +348,10 @@
   EXPECT_EQ(town.call("gate", {{"Idempotency-Key", "k"}}, "x").status, 200);
 }
 
-// A client that repeats under its key until it has an answer, and a gateway that dies at every step there is.
+// A client repeats its request with the same key until it is answered, while the gateway is killed at each
+// ledger step in turn.
 class EveryInvokeStep : public testing::TestWithParam<std::tuple<const char*, bool>> {};
-TEST_P(EveryInvokeStep, AGateReleaseRunsOnceAndHasOneAnswer) {
+TEST_P(EveryInvokeStep, OnceCallRunsOnceAndHasOneAnswer) {
   const auto [step, deferred] = GetParam();
   int deaths = 0;
   for (int nth = 1; nth <= 3; ++nth)
@@ -399,7 +401,7 @@
                            return name + (std::get<1>(info.param) ? "_deferred" : "_named");
                          });
 
-TEST(Invoke, DeferredCallsSurviveAKillAndAreAnsweredInTime) {
+TEST(Invoke, DeferredCallsAreAnsweredAfterKill) {
   HttpTown town;
   town.worker(1).set_silent(true), town.worker(2).set_silent(true);
   std::vector<std::string> where;
@@ -435,7 +437,7 @@
 };
 const Fields kCallback{{"Prefer", "respond-async"}, {"Call-Callback", "http://127.0.0.1:9000/done?x=1"}};
 
-TEST(Invoke, AnswersArePostedToTheirCallback) {
+TEST(Invoke, PostsAnswerToCallback) {
   HttpTown town;
   Listener listener(town.net);
   listener.refuse = 2;
@@ -452,7 +454,7 @@
   EXPECT_EQ(town.ask("GET", HttpTown::field(taken, "Location")).status, 200);
 }
 
-TEST(Invoke, CallbacksAreTriedSoOftenAndNoMore) {
+TEST(Invoke, GivesUpCallbackAfterConfiguredAttempts) {
   HttpTown town;
   Listener listener(town.net);
   listener.refuse = 1000;
@@ -463,7 +465,7 @@
   EXPECT_EQ(town.ask("GET", HttpTown::field(taken, "Location")).status, 200);
 }
 
-TEST(Invoke, CallbacksThatAreDueSurviveAKill) {
+TEST(Invoke, PendingCallbackIsSentAfterKill) {
   HttpTown town;
   const Result taken = town.call("gate", kCallback);  // nobody listens yet
   town.net.run_for(2s);
@@ -478,7 +480,7 @@
 
 // ---- Several controllers ----------------------------------------------------------------------------------
 
-TEST(Invoke, KeysAndCallsOfAnotherControllerAreFoundThere) {
+TEST(Invoke, RedirectsKeysAndCallsOfAnotherController) {
   auto text = [](int me) {
     std::string t = settings_text(
         "", invoke_settings("", "[[peer]]\nnumber = " + std::to_string(1 - me) +
@@ -516,7 +518,7 @@
     ASSERT_EQ(here.status, 202);
     const std::string where = HttpTown::field(here, "Location");
     ASSERT_EQ(town.poll(where).status, 200);
-    // The same key at the other one is sent here, and so is whoever polls there.
+    // The other controller redirects both a repeat of the key and a poll.
     const int owner = town.at.port;
     town.at.port = static_cast<std::uint16_t>(8080 + 8081 - owner);
     EXPECT_EQ(town.call("gate", fields).status, 307);
@@ -530,7 +532,7 @@
   EXPECT_EQ(town.runs(), 20U);
 }
 
-TEST(Invoke, AControllerWhoseAddressIsNotToldIsNamed) {
+TEST(Invoke, NamesOwnerWithUnknownAddress) {
   HttpTown town;
   town.kill_gateway();
   std::string text = settings_text("", invoke_settings());
@@ -548,7 +550,7 @@
 
 // ---- Trouble ----------------------------------------------------------------------------------------------
 
-TEST(Invoke, AFullDiskTakesNoDeferredCalls) {
+TEST(Invoke, RefusesDeferredCallsWhenDiskIsFull) {
   HttpTown town;
   EXPECT_EQ(town.call("gate", {{"Idempotency-Key", "warm"}}).status, 200);
   town.disk.full = true;
@@ -558,13 +560,13 @@
   EXPECT_EQ(r.status, 503);
   EXPECT_NE(HttpTown::detail(r).find("no space left"), std::string::npos) << HttpTown::detail(r);
   EXPECT_EQ(town.field(r, "Retry-After"), "1");
-  EXPECT_EQ(town.call("echo").status, 200);  // needs no record
+  EXPECT_EQ(town.call("echo").status, 200);  // a plain call needs no record
   town.disk.full = false;
   town.net.run_for(2s);
   EXPECT_EQ(town.call("gate", {{"Idempotency-Key", "after"}}).status, 200);
 }
 
-TEST(Invoke, DrainAnswersWhatWasTaken) {
+TEST(Invoke, DrainAnswersAcceptedCalls) {
   HttpTown town;
   std::optional<Result> got;
   http::Exchange e(town.net, town.at, town.request("POST", "/v1/functions/gate/calls", {}, "x"), 20s, {},
@@ -579,15 +581,15 @@
   EXPECT_EQ(got->status, 200);
 }
 
-// A request that was half here when the gateway began to stop is told so, and is not run.
-TEST(Invoke, WhatComesWhileItDrainsIsTurnedAway) {
+// A request that was only partly received when the drain began is answered with 503 and is not run.
+TEST(Invoke, RejectsRequestsWhileDraining) {
   HttpTown town;
   struct Half : io::ConnectionEvents {
     std::string heard;
     std::size_t on_bytes(std::string_view b) override { return heard += b, b.size(); }
     void on_closed(io::Closed) override {}
   } half;
-  std::optional<Result> got;  // something to answer keeps the gateway alive meanwhile
+  std::optional<Result> got;  // an open call keeps the gateway running meanwhile
   http::Exchange e(town.net, town.at, town.request("POST", "/v1/functions/gate/calls", {}, "x"), 20s, {},
                    [&](Result r) { got = std::move(r); });
   std::string text;
@@ -604,11 +606,11 @@
   EXPECT_EQ(town.runs(), 1U);
 }
 
-// ---- The description --------------------------------------------------------------------------------------
+// ---- The OpenAPI document ---------------------------------------------------------------------------------
 
-// Run last of its suite by its name: all that the tests above saw is described, and all that is described was
-// seen.
-TEST(InvokeZ, TheDescriptionAndTheServerAgree) {
+// The suite's name makes it run last: every observed status must be documented, and every documented one
+// observed.
+TEST(InvokeZ, OpenApiDocumentMatchesObservedResponses) {
   HttpTown town;
   const Result served = town.ask("GET", "/v1/openapi.json", {{"Authorization", "none"}});
   ASSERT_EQ(served.status, 200);
--- a/tests/controller/owed_test.cpp
+++ b/tests/controller/owed_test.cpp
@@ -1,4 +1,4 @@
-// What a call owed by an earlier life becomes under today's settings.
+// Recovery of owed calls after a restart, under the current settings.
 #include "controller/owed.h"
 
 #include "town.h"
@@ -20,7 +20,7 @@
   void sent() { record.attempts = {{1, 1200, ledger::Fate::kOut}}; }
 };
 
-TEST_F(OwedCall, RunsWithThePatienceItHasLeft) {
+TEST_F(OwedCall, RunsWithRemainingTimeout) {
   const auto owed = decide_owed_call(*config, key, record, 2000);
   ASSERT_TRUE(owed.call);
   EXPECT_TRUE(owed.from_scratch);
@@ -31,7 +31,7 @@
   EXPECT_EQ(owed.call->timeout, Duration(1500ms));
 }
 
-TEST_F(OwedCall, ARepeatKeepsToItsWindow) {
+TEST_F(OwedCall, RepeatEndsWithItsWindow) {
   auto text = settings_text();
   text.replace(text.find("repeats_dropped_by = \"cell\""), 27, "repeats_dropped_by = \"all\"");
   config = std::make_shared<const config::Settings>(*config::parse(text, "t").settings);
@@ -40,10 +40,10 @@
   const auto owed = decide_owed_call(*config, key, record, 2000);
   ASSERT_TRUE(owed.call);
   EXPECT_FALSE(owed.from_scratch);
-  EXPECT_EQ(owed.call->timeout, Duration(1200ms));  // to 2 s after the first attempt
+  EXPECT_EQ(owed.call->timeout, Duration(1200ms));  // until 2 s after the first attempt
 }
 
-TEST_F(OwedCall, AFunctionThatIsGoneIsNotRun) {
+TEST_F(OwedCall, CallOfRemovedFunctionIsNotRun) {
   record.function = "gone";
   const auto never_sent = decide_owed_call(*config, key, record, 2000);
   ASSERT_TRUE(never_sent.final_answer);
@@ -55,7 +55,7 @@
   EXPECT_EQ(may_have_run.final_answer->kind, Answer::Kind::kFailed);
 }
 
-TEST_F(OwedCall, AnAnswerIsGivenAsItIs) {
+TEST_F(OwedCall, RecordedAnswerIsKept) {
   record.answer = ledger::Answer{ledger::Answer::Kind::kServed, "", "x", 0, 1500};
   const auto owed = decide_owed_call(*config, key, record, 2000);
   EXPECT_FALSE(owed.call);
