--- a/src/controller/claim.cpp
+++ b/src/controller/idempotency_key.cpp
@@ -1,4 +1,4 @@
-#include "controller/claim.h"
+#include "controller/idempotency_key.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
--- a/src/controller/invoke.cpp
+++ b/src/controller/invoke.cpp
@@ -153,7 +153,7 @@
   if (!target) return respond_with_problem(ticket, 400, "the request target is not a valid path");
   const std::vector<std::string>& path = target->path;
   const bool read = request.method == "GET" || request.method == "HEAD";
-  auto only = [&](bool allowed, const char* methods) {
+  auto allow_only = [&](bool allowed, const char* methods) {
     if (allowed) return true;
     http::Headers headers;
     headers.add("Allow", methods);
@@ -161,18 +161,18 @@
     return false;
   };
   if (path.size() == 2 && path[0] == "v1" && path[1] == "openapi.json") {
-    if (!only(read, "GET, HEAD")) return;
+    if (!allow_only(read, "GET, HEAD")) return;
     http::Response response;
     response.headers.add("Content-Type", "application/json");
     response.body = openapi_document();
     return server_.respond(ticket, std::move(response));
   }
   if (path.size() == 4 && path[0] == "v1" && path[1] == "functions" && path[3] == "calls") {
-    if (!only(request.method == "POST", "POST")) return;
+    if (!allow_only(request.method == "POST", "POST")) return;
     return handle_call(ticket, request, path[2]);
   }
   if (path.size() == 3 && path[0] == "v1" && path[1] == "calls") {
-    if (!only(read || request.method == "DELETE", "GET, HEAD, DELETE")) return;
+    if (!allow_only(read || request.method == "DELETE", "GET, HEAD, DELETE")) return;
     return handle_show_call(ticket, request, path[2]);
   }
   respond_with_problem(ticket, 404, "not found; see /v1/openapi.json");
@@ -264,7 +264,7 @@
     return respond_with_problem(ticket, 429, "too many clients wait for this call");
   open.waiting_clients.push_back(ticket);
   call_id_by_waiting_client_[ticket] = id;
-  if (!parsed.deferred || !open.taken) return;
+  if (!parsed.deferred || !open.accepted) return;
   // Deferred: the answer if it comes within the preferred wait, else 202 with its location.
   auto timer = host_.timer([this, ticket, id] {
     const auto it = open_calls_.find(id);
@@ -347,7 +347,7 @@
         if (!*alive) return;
         const auto it = open_calls_.find(id);
         if (it == open_calls_.end()) return;
-        it->second.taken = true;
+        it->second.accepted = true;
         for (const Ticket early : std::exchange(it->second.waiting_clients, {}))
           join(early, id, it->second, *shared);
         join(ticket, id, it->second, *shared);
@@ -356,7 +356,7 @@
     }
     book_->take(record_key, std::move(record));
   }
-  open.taken = true;
+  open.accepted = true;
   open.waiting_clients.push_back(ticket);
   call_id_by_waiting_client_[ticket] = id;
   run_call(id, std::move(parsed.call));
@@ -554,7 +554,7 @@
       continue;
     }
     OpenCall& open = open_calls_[id];
-    open.tenant = tenant, open.digest = record->digest, open.recorded = open.deferred = open.taken = true;
+    open.tenant = tenant, open.digest = record->digest, open.recorded = open.deferred = open.accepted = true;
     book_->resume(record_key, owed.from_scratch);
     if (owed.final_answer) {
       on_call_finished(id, std::move(*owed.final_answer));
--- a/src/controller/invoke.h
+++ b/src/controller/invoke.h
@@ -12,8 +12,8 @@
 #include <deque>
 #include <map>
 
-#include "controller/claim.h"
 #include "controller/core.h"
+#include "controller/idempotency_key.h"
 #include "controller/keyring.h"
 #include "http/client.h"
 #include "http/server.h"
@@ -44,7 +44,7 @@
  private:
   struct OpenCall {  // a call without an answer
     std::uint32_t tenant = 0;
-    bool recorded = false, deferred = false, taken = false;
+    bool recorded = false, deferred = false, accepted = false;
     std::string digest;
     std::vector<Ticket> waiting_clients;
     std::optional<std::uint32_t> request;  // its id in the core, once accepted
--- a/src/controller/trigger.cpp
+++ b/src/controller/trigger.cpp
@@ -249,7 +249,7 @@
 }
 
 void TriggerFront::on_message(Queue& queue, const amqp::BasicDeliver& deliver, amqp::Content content) {
-  if (draining_ || paused_) return requeue(queue, deliver.delivery_tag);  // requeued at once
+  if (draining_ || paused_) return requeue(queue, deliver.delivery_tag);
   auto parsed = parse_message(queue, deliver, std::move(content));
   if (!parsed) return;
   const bool on_take = broker_.acknowledge == config::AcknowledgeMode::kOnTake;
@@ -470,7 +470,7 @@
   std::vector<Reply> replies;
   for (const ledger::ReplyTo& to : record->replies)
     if (!to.to.empty()) replies.push_back({name, {0, 0, to.to, to.correlation}, answer, true});
-  if (replies.empty())  // no reply is wanted; the message may still be redelivered
+  if (replies.empty())  // no reply is reply_wanted; the message may still be redelivered
     return book_->delivered(queue.intake.key(name), ledger::Delivered::kUnsure, kLostAcknowledgementTtlMs);
   queue.unconfirmed_replies[name] += replies.size();
   for (Reply& reply : replies) enqueue_reply(queue, std::move(reply));
@@ -620,8 +620,8 @@
 
 void TriggerFront::publish(Queue& queue, Reply reply) {
   const bool transactions = broker_.answers == config::AnswerMode::kTransaction;
-  const bool wanted = !reply.delivery.reply_to.empty();
-  if (wanted) {
+  const bool reply_wanted = !reply.delivery.reply_to.empty();
+  if (reply_wanted) {
     amqp::BasicPublish method;
     method.routing_key = reply.delivery.reply_to;
     method.mandatory = true;
@@ -637,10 +637,11 @@
     if (book_) book_->step("answer-given");
   }
   if (reply.owed) return void(queue.unconfirmed.emplace(++queue.publish_sequence, std::move(reply)));
-  if (transactions || !wanted) endpoint_->send(queue.channel, amqp::BasicAck{reply.delivery.tag, false});
+  if (transactions || !reply_wanted)
+    endpoint_->send(queue.channel, amqp::BasicAck{reply.delivery.tag, false});
   if (transactions) {
     queue.uncommitted.push_back(std::move(reply));
-  } else if (wanted) {
+  } else if (reply_wanted) {
     queue.unconfirmed.emplace(++queue.publish_sequence, std::move(reply));
   } else {
     on_reply_settled(queue, reply);
--- a/tests/controller/claim_test.cpp
+++ b/tests/controller/idempotency_key_test.cpp
@@ -1,5 +1,5 @@
 // Idempotency keys: the decision table, call ids, key ownership and header parsing.
-#include "controller/claim.h"
+#include "controller/idempotency_key.h"
 
 #include <gtest/gtest.h>
 
@@ -19,7 +19,7 @@
   return r;
 }
 
-TEST(KeyDecision, Table) {
+TEST(IdempotencyKey, Table) {
   using K = KeyDecision::Kind;
   using A = ledger::Answer::Kind;
   EXPECT_EQ(decide_on_key(nullptr, "same", kOnce, 1500).kind, K::kRun);
@@ -43,7 +43,7 @@
   EXPECT_EQ(decide_on_key(&sent, "same", kKeyed, 3000).kind, K::kFail);
 }
 
-TEST(KeyDecision, CallIdContainsOwner) {
+TEST(IdempotencyKey, CallIdContainsOwner) {
   const std::string id = call_id(12, std::string(16, '\xab'));
   EXPECT_EQ(id, "12-abababababababababababababababab");
   EXPECT_EQ(owner_of_id(id), 12U);
@@ -54,7 +54,7 @@
 }
 
 // Rendezvous hashing: an added controller takes over only its own share of the keys.
-TEST(KeyDecision, AddingControllerMovesOnlyItsShareOfKeys) {
+TEST(IdempotencyKey, AddingControllerMovesOnlyItsShareOfKeys) {
   std::map<std::uint32_t, int> count;
   int moved = 0;
   for (int i = 0; i < 10'000; ++i) {
@@ -71,7 +71,7 @@
   EXPECT_EQ(owner_of_key("t", "k", 1), 0U);
 }
 
-TEST(KeyDecision, ParsesQuotedAndBareKeys) {
+TEST(IdempotencyKey, ParsesQuotedAndBareKeys) {
   EXPECT_EQ(parse_key("\"8e03\""), "8e03");
   EXPECT_EQ(parse_key(" bare "), "bare");
   EXPECT_EQ(parse_key(R"("a\"b\\")"), "a\"b\\");
@@ -80,7 +80,7 @@
     EXPECT_FALSE(parse_key(bad)) << bad;
 }
 
-TEST(KeyDecision, Preferences) {
+TEST(IdempotencyKey, Preferences) {
   EXPECT_TRUE(parse_prefer("respond-async").respond_async);
   EXPECT_TRUE(parse_prefer("x=1, Respond-Async ; p=q").respond_async);
   EXPECT_EQ(parse_prefer("respond-async, wait=10").wait_s, 10);
