--- a/src/controller/trigger.cpp
+++ b/src/controller/trigger.cpp
@@ -470,7 +470,7 @@
   std::vector<Reply> replies;
   for (const ledger::ReplyTo& to : record->replies)
     if (!to.to.empty()) replies.push_back({name, {0, 0, to.to, to.correlation}, answer, true});
-  if (replies.empty())  // no reply is reply_wanted; the message may still be redelivered
+  if (replies.empty())  // no reply is wanted; the message may still be redelivered
     return book_->delivered(queue.intake.key(name), ledger::Delivered::kUnsure, kLostAcknowledgementTtlMs);
   queue.unconfirmed_replies[name] += replies.size();
   for (Reply& reply : replies) enqueue_reply(queue, std::move(reply));
