--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -245,7 +245,8 @@
   const bool repeatable =
       settings_->module.classes[open.call.function->request_class].semantics == Semantics::kRepeatable;
   if (!book_ || open.call.ledger_key.empty() || repeatable) return dispatch(cookie);
-  // Rule 2 across a crash: the attempt has to be durable before a worker can see the call.
+  // Rule 2 (a call that may have run is not run again) must hold across a crash: the attempt has to be
+  // durable before a worker can see the call.
   open.attempts[number].awaits_ledger = true;
   open.attempts[number].ledger_index = book_->attempt(
       open.call.ledger_key, static_cast<std::uint32_t>(worker), [this, cookie, alive = alive_] {
--- a/tests/controller/gateway_test.cpp
+++ b/tests/controller/gateway_test.cpp
@@ -327,7 +327,7 @@
   other.call({"lost", "echo", "", "", "", "b", {}, true});
   ASSERT_TRUE(town.net.run_until([&] { return town.ran("lost") == 1; }));
   town.broker.drop("short-lived");
-  ASSERT_TRUE(town.net.run_until([&] { return town.log.said("an answer found no queue"); }));
+  ASSERT_TRUE(town.net.run_until([&] { return town.log.said("an answer could not be routed"); }));
   EXPECT_TRUE(settled(town));
 }
 
@@ -460,7 +460,8 @@
   const std::string none = town.call("gate");
   ASSERT_TRUE(town.wait_answer(none));
   EXPECT_EQ(town.outcome(none), "refused");
-  EXPECT_EQ(town.tape.count("call") + town.tape.count("hold"), before);  // rule 3
+  EXPECT_EQ(town.tape.count("call") + town.tape.count("hold"),
+            before);  // rule 3: a worker that has left gets nothing new
 }
 
 TEST(Gateway, IgnoresOlderWorkerList) {
@@ -544,7 +545,7 @@
   std::size_t after = 0;
   for (const auto& l : town.tape.lines)
     after += (l.what == "call" || l.what == "hold") && l.fields["worker"] == 1;
-  EXPECT_EQ(after, at_one);  // rule 3
+  EXPECT_EQ(after, at_one);  // rule 3: a draining worker gets nothing new
 }
 
 TEST(Gateway, RefusesWhileAllWorkersAreDownThenRecovers) {
@@ -576,7 +577,7 @@
   std::vector<std::string> names;
   for (int i = 0; i < 4; ++i) names.push_back(town.call("gate"));
   town.net.run_for(15ms);
-  for (const std::string& name : names) EXPECT_EQ(town.tape.count("call", name), 1U);  // none is held back
+  for (const std::string& name : names) EXPECT_EQ(town.tape.count("call", name), 1U);  // none is delayed
   for (const std::string& name : names) {
     ASSERT_TRUE(town.wait_answer(name));
     EXPECT_EQ(town.outcome(name), "served");
@@ -774,7 +775,7 @@
   std::optional<bool> all;
   const std::string after = town.call("echo");
   ASSERT_TRUE(town.net.run_until([&] { return town.tape.count("delivered", after) == 1; }));
-  town.gateway->drain([&](bool well) { all = well; });  // while that message is in transit
+  town.gateway->drain([&](bool all_answered) { all = all_answered; });  // while that message is in transit
   ASSERT_TRUE(town.net.run_until([&] { return all.has_value(); }));
   EXPECT_EQ(town.tape.count("call", after), 0U);
   EXPECT_TRUE(*all);
--- a/tests/controller/invoke_test.cpp
+++ b/tests/controller/invoke_test.cpp
@@ -353,7 +353,7 @@
 class EveryInvokeStep : public testing::TestWithParam<std::tuple<const char*, bool>> {};
 TEST_P(EveryInvokeStep, OnceCallRunsOnceAndHasOneAnswer) {
   const auto [step, deferred] = GetParam();
-  int deaths = 0;
+  int kills = 0;
   for (int nth = 1; nth <= 3; ++nth)
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       HttpTown town(seed);
@@ -383,14 +383,14 @@
         town.run_for(3s);
         EXPECT_LE(town.runs() - before, 1U) << step;
       }
-      deaths += town.kills;
+      kills += town.kills;
     }
   const std::string s = step;
   const bool expected = s.starts_with("attempt-") || s.starts_with("answer-queued") ||
                         s == "answer-durable" || s == "delivered-queued" ||
                         (deferred && s.starts_with("take"));
   if (expected && s != "attempt-ended") {
-    EXPECT_GE(deaths, 3) << step;
+    EXPECT_GE(kills, 3) << step;
   }
 }
 INSTANTIATE_TEST_SUITE_P(Invoke, EveryInvokeStep,
