--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -23,7 +23,7 @@
     case Outcome::kConnectFailed: return 'c';
     case Outcome::kReset: return 'r';
     case Outcome::kCancelled: return 'x';
-    case Outcome::kMoot: return 'z';
+    case Outcome::kNotRun: return 'z';
     case Outcome::kMiss: return 'm';
   }
   return '?';
@@ -49,7 +49,7 @@
     case Outcome::kConnectFailed: return "connect-failed";
     case Outcome::kReset: return "reset";
     case Outcome::kCancelled: return "cancelled";
-    case Outcome::kMoot: return "moot";
+    case Outcome::kNotRun: return "moot";
     case Outcome::kMiss: return "miss";
   }
   return "unknown";
@@ -236,7 +236,7 @@
                         number >= static_cast<std::size_t>(settings_->module.bounds.attempts_cap);
   if (obsolete || !link(worker)) {  // nothing is sent
     CallEnd end;
-    end.outcome = obsolete ? Outcome::kMoot : Outcome::kConnectFailed;
+    end.outcome = obsolete ? Outcome::kNotRun : Outcome::kConnectFailed;
     deferred_events_.push_back([this, cookie, end](Time) { end_attempt(cookie, end); });
     return;
   }
@@ -271,11 +271,11 @@
     const laureltide::Rules& rules = settings_->module.rules;
     const members::Member* member = worker_list_.find(attempt.worker);
     const bool ready = member && member->state == WorkerState::kReady;
-    const bool stale = now - attempt.sent_at > std::min(rules.drain_grace, rules.overload_for) / 2;
+    const bool stale = now - attempt.sent_at > std::min(rules.drain_grace, rules.overload_duration) / 2;
     CallEnd end;
-    end.outcome = open.answered || now >= open.deadline ? Outcome::kMoot : Outcome::kFull;
-    const bool may_leave = module_->may_leave(now, RequestId{id}, static_cast<AttemptNumber>(number));
-    if (end.outcome == Outcome::kMoot || !ready || stale || !may_leave) return end_attempt(cookie, end);
+    end.outcome = open.answered || now >= open.deadline ? Outcome::kNotRun : Outcome::kFull;
+    const bool may_be_sent = module_->may_be_sent(now, RequestId{id}, static_cast<AttemptNumber>(number));
+    if (end.outcome == Outcome::kNotRun || !ready || stale || !may_be_sent) return end_attempt(cookie, end);
     attempt.awaits_ledger = false;
   }
   worker::Port* to = link(attempt.worker);
@@ -321,9 +321,9 @@
   attempt.connection = connection;
 }
 
-bool Core::may_leave(WorkerId, std::uint64_t cookie) {
+bool Core::may_be_sent(WorkerId, std::uint64_t cookie) {
   const RequestId request{static_cast<std::uint32_t>(cookie >> 8)};
-  return module_->may_leave(host_.now(), request, static_cast<AttemptNumber>(cookie & 0xff));
+  return module_->may_be_sent(host_.now(), request, static_cast<AttemptNumber>(cookie & 0xff));
 }
 
 void Core::on_connection_end(WorkerId, std::string_view why) {
@@ -346,12 +346,12 @@
   Attempt& attempt = open.attempts[number];
   if (attempt.outcome) return;
   if (attempt.awaits_ledger) {  // whatever the outcome, it was never sent
-    if (end.outcome == Outcome::kTimeout) end.outcome = Outcome::kMoot;
+    if (end.outcome == Outcome::kTimeout) end.outcome = Outcome::kNotRun;
     attempt.awaits_ledger = false;
     book_->never_ran(open.call.ledger_key, *attempt.ledger_index);
   } else if (attempt.ledger_index &&
              (end.outcome == Outcome::kFull || end.outcome == Outcome::kMiss ||
-              end.outcome == Outcome::kConnectFailed || end.outcome == Outcome::kMoot)) {
+              end.outcome == Outcome::kConnectFailed || end.outcome == Outcome::kNotRun)) {
     book_->never_ran(open.call.ledger_key, *attempt.ledger_index);
   }
   attempt.outcome = end.outcome;
@@ -378,7 +378,7 @@
   result.terminal = open.answered;
   result.took = host_.now() - attempt.sent_at;
   result.found = end.found;
-  if (settings_->module.instances.tells_company) result.company = end.company;
+  if (settings_->module.instances.reports_others_in_flight) result.others_in_flight = end.others_in_flight;
   result.report = end.report;
   notify_module([this, result](Time now) { module_->on(now, result); });
   erase_if_finished(id);
@@ -496,7 +496,7 @@
 
 std::unique_ptr<worker::Port> Core::make_ltwp_link(WorkerId worker, const io::Address& address) {
   worker::LinkOptions options;
-  options.controller = settings_->module.me;
+  options.controller = settings_->module.replica_index;
   options.controller_name = settings_->gateway.name;
   options.started_unix_ms = started_unix_ms_;
   options.dial_timeout = settings_->module.bounds.dial_timeout;
@@ -521,9 +521,9 @@
   std::map<WorkerId, std::optional<std::int64_t>> started;
   for (const auto& [id, link] : links_)
     if (const members::Member* m = worker_list_.find(id)) started[id] = m->started_unix_ms;
-  members::List::Taken taken = worker_list_.take(update, wall_to_steady_offset_, cached);
+  members::WorkerList::ApplyResult taken = worker_list_.take(update, wall_to_steady_offset_, cached);
   if (taken.verdict == members::Verdict::kGap && on_worker_list_gap) on_worker_list_gap();
-  if (taken.verdict != members::Verdict::kTaken) return;
+  if (taken.verdict != members::Verdict::kApplied) return;
   notify_module([this, taken = std::move(taken)](Time now) {
     module_->on(now, ListUpdate{taken.scope, taken.version, taken.entries});
   });
@@ -580,7 +580,7 @@
 
 void Core::discard_unused() {
   prune_links();
-  worker_list_.forget_gone([this](WorkerId id) { return links_.contains(id); });
+  worker_list_.remove_gone([this](WorkerId id) { return links_.contains(id); });
   const Time old = host_.now() - kFunctionNameTtl;
   std::erase_if(function_names_, [&](const auto& n) { return n.second.last_used < old; });
 }
@@ -590,7 +590,7 @@
 void Core::fetch_list() {
   if (on_worker_list_gap) on_worker_list_gap();
 }
-void Core::tell(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) {
+void Core::send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) {
   events_.on_send_to_peer(peer, bytes);
 }
 void Core::log(std::string_view line) { events_.on_log(std::string(line)); }
@@ -609,7 +609,7 @@
   deferred_events_.clear();
 }
 
-void Core::wake(Duration delay, TimerToken token) {
+void Core::start_timer(Duration delay, TimerToken token) {
   add_timer(host_.now() + delay, TimerKind::kModule, token);
 }
 
@@ -641,7 +641,7 @@
   CallEnd end;
   const auto to = links_.find(worker);
   const bool never_sent = to != links_.end() && to->second->forget_call(cookie);
-  end.outcome = never_sent ? Outcome::kMoot : Outcome::kTimeout;
+  end.outcome = never_sent ? Outcome::kNotRun : Outcome::kTimeout;
   return end;
 }
 
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -130,7 +130,7 @@
             orders_.size(),     timers_.size(),         worker_list_.members().size()};
   }
   const Counters& counters() const { return counters_; }
-  const members::List& list() const { return worker_list_; }
+  const members::WorkerList& list() const { return worker_list_; }
   const Dispatcher& module() const { return *module_; }
   const config::Settings& settings() const { return *settings_; }
   std::function<void()> on_worker_list_gap;  // the full worker list has to be requested
@@ -143,10 +143,10 @@
   void hold(WorkerId worker, FunctionId function, int instances) override;
   void release(WorkerId worker, FunctionId function) override;
   void probe(WorkerId worker) override;
-  void wake(Duration delay, TimerToken token) override;
+  void start_timer(Duration delay, TimerToken token) override;
   void subscribe(bool) override {}  // worker lists are pushed to this process
   void fetch_list() override;
-  void tell(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) override;
+  void send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) override;
   void log(std::string_view line) override;
 
   // ---- worker::LinkEvents: results from workers ----
@@ -156,8 +156,8 @@
   void on_probe_end(WorkerId worker, std::uint64_t cookie, Outcome outcome, LoadReport report) override;
   void on_call_left(WorkerId worker, std::uint64_t cookie, std::uint64_t connection) override;
   void on_connection_end(WorkerId worker, std::string_view why) override;
-  bool may_begin(WorkerId worker) override { return module_->may_begin(host_.now(), worker); }
-  bool may_leave(WorkerId worker, std::uint64_t cookie) override;
+  bool may_start_work(WorkerId worker) override { return module_->may_start_work(host_.now(), worker); }
+  bool may_be_sent(WorkerId worker, std::uint64_t cookie) override;
   void on_oddity(WorkerId worker, const std::string& what) override;
 
  private:
@@ -233,7 +233,7 @@
   std::shared_ptr<const config::Settings> settings_;
   CoreEvents& events_;
   ledger::Book* book_;
-  members::List worker_list_;
+  members::WorkerList worker_list_;
   std::int64_t started_unix_ms_;
   Duration wall_to_steady_offset_{};
   struct FunctionName {
--- a/src/controller/peers.cpp
+++ b/src/controller/peers.cpp
@@ -55,7 +55,7 @@
 };
 
 Peers::Peers(io::Host& host, const config::Settings& settings, OnMessage on_message)
-    : own_number_(settings.module.me), on_message_(std::move(on_message)), closed_(host) {
+    : own_number_(settings.module.replica_index), on_message_(std::move(on_message)), closed_(host) {
   for (const config::Peer& peer : settings.peers)
     if (peer.number != own_number_) outbound_[peer.number] = std::make_unique<Outbound>(host, peer.address);
   listen_configured_ = settings.gateway.peer_listen.has_value();
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -60,9 +60,11 @@
     if (connection_->unsent() > 0) unsent_timer_->start(kLookAtUnsentEvery);
   }
   void rest() {  // nothing is out any more
-    if (open && out.empty()) timer_->start(link_.options_.idle);
+    if (open && out.empty()) timer_->start(link_.options_.idle_timeout);
+  }
+  bool unresponsive() const {
+    return asked_at && link_.host_.now() - *asked_at > link_.options_.unresponsive_after;
   }
-  bool quiet() const { return asked_at && link_.host_.now() - *asked_at > link_.options_.quiet; }
   std::size_t unsent() const { return connection_ && open ? connection_->unsent() : 0; }
 
   const std::uint64_t number;
@@ -86,11 +88,11 @@
     open = true;
     used_at = link_.host_.now();
     timer_->stop();
-    const bool may_begin = link_.events_.may_begin(link_.worker_);
+    const bool may_start_work = link_.events_.may_start_work(link_.worker_);
     for (const auto& [id, what] : std::exchange(waiting, {})) {
       const Key& key = out.at(id);
-      const bool may_leave = !key.first || link_.events_.may_leave(link_.worker_, key.second);
-      if ((what.begins && !may_begin) || !may_leave)
+      const bool may_be_sent = !key.first || link_.events_.may_be_sent(link_.worker_, key.second);
+      if ((what.begins && !may_start_work) || !may_be_sent)
         link_.withhold(*this, id);
       else
         put_asked(id, what.frame);
@@ -103,7 +105,7 @@
     used_at = link_.host_.now();
     std::size_t used = 0;
     while (connection_) {
-      const ParseResult r = parse(bytes.substr(used), kFromInvoker);
+      const ParseResult r = parse(bytes.substr(used), kInvokerMagic);
       if (r.kind == ParseResult::Kind::kNeedMore) break;
       if (r.kind == ParseResult::Kind::kBad) {
         link_.drop(*this, Outcome::kReset, std::string(r.why), r.id);
@@ -133,9 +135,9 @@
     if (connection_->unsent() == 0) return untaken_.clear();
     const bool late = std::any_of(untaken_.begin(), untaken_.end(), [this](std::uint64_t id) {
       const auto it = out.find(id);
-      return it != out.end() && !link_.events_.may_leave(link_.worker_, it->second.second);
+      return it != out.end() && !link_.events_.may_be_sent(link_.worker_, it->second.second);
     });
-    if (late || !link_.events_.may_begin(link_.worker_)) return link_.end_later(*this);
+    if (late || !link_.events_.may_start_work(link_.worker_)) return link_.end_later(*this);
     unsent_timer_->start(kLookAtUnsentEvery);
   }
   void on_timer() {
@@ -153,7 +155,7 @@
 
 namespace {
 
-constexpr std::size_t kReadAhead = kHeadBytes + kMostFields + kMostBody + kCheckBytes + (16U << 10);
+constexpr std::size_t kReadAhead = kHeaderBytes + kMostFields + kMaxBodyBytes + kChecksumBytes + (16U << 10);
 
 constexpr double kRestDoubles = 30;  // seconds in which what was learnt of a rest is trusted twice as far
 constexpr Duration kOutlivedCounts = std::chrono::seconds(30);  // as an example of a rest that ended nothing
@@ -170,13 +172,13 @@
   if (note == "booted") return Found::kBeganLoad;
   if (note == "rode") return Found::kAwaitedLoad;
   if (note == "boot_error") return Found::kLoadFailed;
-  return Found::kUntold;
+  return Found::kNotReported;
 }
 
 }  // namespace
 
-Link::Link(io::Host& host, WorkerId worker, io::Address address, const LinkOptions& options, Budget& budget,
-           worker::LinkEvents& events)
+Link::Link(io::Host& host, WorkerId worker, io::Address address, const LinkOptions& options,
+           ConnectionBudget& budget, worker::LinkEvents& events)
     : host_(host),
       worker_(worker),
       address_(std::move(address)),
@@ -229,7 +231,7 @@
       end(asked.cookie, asked.kind, Outcome::kFull, "no connection is free");
     });
   scratch_.clear();
-  write(scratch_, kFromController, code, id, fields, body);
+  write(scratch_, kControllerMagic, code, id, fields, body);
   if (wire->open) return wire->ask(id, key, scratch_);
   wire->out[id] = key;
   wire->waiting[id] = {scratch_, begins};
@@ -243,7 +245,7 @@
   Wire* unfit = nullptr;  // the first to go where a connection more needs the room
   const Time now = host_.now();
   for (const auto& wire : wires_) {
-    const bool bad = wire->retired || wire->quiet() || (wire->open && now - wire->used_at > rest()) ||
+    const bool bad = wire->retired || wire->unresponsive() || (wire->open && now - wire->used_at > rest()) ||
                      wire->carried.contains(id);
     if (bad && (!unfit || wire->out.size() < unfit->out.size())) unfit = wire.get();
     if (bad || wire->out.size() >= options_.streams || wire->out.contains(id)) continue;
@@ -252,10 +254,10 @@
     if (!least || wire->out.size() < least->out.size()) least = wire.get();
   }
   if (idle) return idle;
-  const std::size_t most = budget_.most + (least ? 0 : budget_.at_least);
-  const bool full = wires_.size() >= options_.most_own || budget_.open >= most;
+  const std::size_t most = budget_.limit + (least ? 0 : budget_.reserve);
+  const bool full = wires_.size() >= options_.max_connections || budget_.open >= most;
   if (full && unfit && unfit->out.empty()) drop(*unfit, Outcome::kReset, "makes room");
-  if (wires_.size() < options_.most_own && budget_.open < most) {
+  if (wires_.size() < options_.max_connections && budget_.open < most) {
     wires_.push_back(std::make_unique<Wire>(*this, ++connections_made_, kReadAhead));
     return wires_.back().get();
   }
@@ -269,7 +271,8 @@
   const bool unsent = it->second.wire->waiting.contains(it->second.id);
   give_up(key, false);
   later([this, cookie, unsent] {
-    events_.on_call_end(worker_, cookie, {unsent ? Outcome::kMoot : Outcome::kCancelled, {}, {}, {}, {}, {}});
+    events_.on_call_end(worker_, cookie,
+                        {unsent ? Outcome::kNotRun : Outcome::kCancelled, {}, {}, {}, {}, {}});
   });
 }
 
@@ -281,7 +284,7 @@
   const bool waits = it->second.wire->waiting.contains(it->second.id);
   if (!waits && it->second.wire->unsent() == 0) return;
   give_up({true, cookie}, false);
-  const Outcome outcome = waits ? Outcome::kMoot : Outcome::kCancelled;
+  const Outcome outcome = waits ? Outcome::kNotRun : Outcome::kCancelled;
   later([this, cookie, outcome] { events_.on_call_end(worker_, cookie, {outcome, {}, {}, {}, {}, {}}); });
 }
 
@@ -304,7 +307,7 @@
   const Asked what = asked->second;
   asked_.erase(asked);
   later([this, what] {
-    end(what.cookie, what.kind, what.kind == Kind::kCall ? Outcome::kMoot : Outcome::kFull, "");
+    end(what.cookie, what.kind, what.kind == Kind::kCall ? Outcome::kNotRun : Outcome::kFull, "");
   });
 }
 
@@ -329,7 +332,7 @@
   const bool stuck = wire.unsent() > 0;  // its own bytes may be among them, and cannot be called back
   if (asked.kind == Kind::kCall && !stuck) {
     scratch_.clear();
-    write(scratch_, kFromController, Code::kGiveUp, asked.id, {}, {});
+    write(scratch_, kControllerMagic, Code::kGiveUp, asked.id, {}, {});
     wire.put(scratch_);
   }
   if (stuck)
@@ -365,9 +368,9 @@
   if (!id) return;
   // Only a connection that stands: without one there is nothing of ours that could not as well idle out.
   for (const auto& wire : wires_) {
-    if (!wire->open || wire->retired || wire->quiet()) continue;
+    if (!wire->open || wire->retired || wire->unresponsive()) continue;
     scratch_.clear();
-    write(scratch_, kFromController, Code::kUnload, *id, {}, {});
+    write(scratch_, kControllerMagic, Code::kUnload, *id, {}, {});
     return wire->put(scratch_);
   }
 }
@@ -395,7 +398,7 @@
   const Outcome outcome = code == Code::kOk || code == Code::kHealthy ? Outcome::kOk
                           : code == Code::kMiss                       ? Outcome::kMiss
                           : code == Code::kFull                       ? Outcome::kFull
-                          : code == Code::kOver                       ? Outcome::kMoot
+                          : code == Code::kOver                       ? Outcome::kNotRun
                                                                       : Outcome::kError;
   if (what.kind == Kind::kProbe)
     return events_.on_probe_end(worker_, what.cookie, outcome, report_of(frame.fields));
@@ -407,8 +410,8 @@
   worker::LinkEvents::CallEnd end;
   end.outcome = outcome;
   end.found = found_of(field(frame.fields, "note").value_or(""));
-  if (options_.tells_company)
-    end.company = static_cast<int>(
+  if (options_.reports_others_in_flight)
+    end.others_in_flight = static_cast<int>(
         std::clamp(number(field(frame.fields, "ahead").value_or("0")).value_or(0), 0.0F, 1e6F));
   end.report = report_of(frame.fields);
   end.body = frame.body;
@@ -437,13 +440,13 @@
     const auto value = number(pair.substr(colon + 1));
     if (named == options_.load.end() || !value) continue;
     switch (named->second) {
-      case LoadValue::kInHand: report.in_hand = value; break;
+      case LoadValue::kInHand: report.in_progress = value; break;
       case LoadValue::kWaiting: report.waiting = value; break;
       case LoadValue::kBusyCores: report.busy_cores = value; break;
       case LoadValue::kRunMs: report.run_ms = value; break;
       case LoadValue::kServed: report.served_per_s = value; break;
       case LoadValue::kErrors: report.errors_per_s = value; break;
-      case LoadValue::kMemory: report.memory_at_work = value; break;
+      case LoadValue::kMemory: report.memory_in_use = value; break;
       case LoadValue::kLoads: report.loads = value; break;
     }
   }
@@ -524,15 +527,15 @@
 }
 
 Duration Link::rest() const {
-  if (rest_ == Duration(0)) return options_.idle;
+  if (rest_ == Duration(0)) return options_.idle_timeout;
   const double seconds = std::chrono::duration<double>(host_.now() - rest_learnt_).count();
   const double grown = std::chrono::duration<double>(rest_).count() * std::exp2(seconds / kRestDoubles);
-  return std::min(options_.idle,
+  return std::min(options_.idle_timeout,
                   std::chrono::duration_cast<Duration>(std::chrono::duration<double>(std::min(grown, 1e4))));
 }
 
 void Link::learn_rest(Duration rested) {
-  if (rested >= options_.idle || rested / 2 >= rest()) return;
+  if (rested >= options_.idle_timeout || rested / 2 >= rest()) return;
   // A bound on rests would have ended the one that lasted longer: this end has another cause.
   if (rested <= outlived_ && host_.now() - outlived_at_ < kOutlivedCounts) return;
   rest_ = std::max(options_.least_rest, rested / 2);
--- a/tests/controller/owed_test.cpp
+++ b/tests/controller/owed_test.cpp
@@ -1,7 +1,7 @@
 // Recovery of owed calls after a restart, under the current settings.
 #include "controller/owed.h"
 
-#include "town.h"
+#include "gateway_fixture.h"
 
 namespace laureltide::test {
 namespace {
