--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -635,7 +635,7 @@
   }
 }
 
-// Ends the wait for a call at a worker. Returns a timeout, or kMoot if nothing was sent, which proves that
+// Ends the wait for a call at a worker. Returns a timeout, or kNotRun if nothing was sent, which proves that
 // the call did not run.
 Core::CallEnd Core::time_out_call(std::uint64_t cookie, WorkerId worker) {
   CallEnd end;
--- a/src/controller/gateway.cpp
+++ b/src/controller/gateway.cpp
@@ -39,7 +39,7 @@
           healthy ? "ledger: writable again" : "ledger: cannot be written: " + book_->trouble());
     };
   if (settings_->list.service) {
-    follower_ = std::make_unique<members::ListSubscriber>(
+    list_subscriber_ = std::make_unique<members::ListSubscriber>(
         host_, *settings_->list.service, settings_->gateway.name,
         [this](std::string_view line) { apply_worker_list_json(line); },
         [this](const std::string& why) {
@@ -47,7 +47,7 @@
             events_.on_log_line(LogLevel::kWarn, "list: " + why + "; keeping the last worker list");
         });
     core_.on_worker_list_gap = [this] {
-      if (follower_) follower_->request_full_list();
+      if (list_subscriber_) list_subscriber_->request_full_list();
     };
   }
   if (!settings_->peers.empty() || settings_->gateway.peer_listen) {
--- a/src/controller/gateway.h
+++ b/src/controller/gateway.h
@@ -64,7 +64,7 @@
   std::vector<std::unique_ptr<TriggerFront>> fronts_;
   std::vector<std::unique_ptr<TriggerFront>> draining_fronts_;  // of brokers that a reload removed
   std::unique_ptr<InvokeFront> invoke_front_;
-  std::unique_ptr<members::ListSubscriber> follower_;
+  std::unique_ptr<members::ListSubscriber> list_subscriber_;
   std::unique_ptr<Peers> peers_;
   std::unique_ptr<io::Timer> stats_timer_, drain_timer_, draining_fronts_timer_;
   std::function<void(bool)> on_drained_;
--- a/src/controller/invoke.h
+++ b/src/controller/invoke.h
@@ -42,7 +42,8 @@
   std::string on_bad(int status, const std::string& why) override;
 
  private:
-  // A call without an answer. `accepted`: the ledger has its record (durable if deferred), so 202 may be sent.
+  // A call without an answer. `accepted`: the ledger has its record (durable if deferred), so 202 may be
+  // sent.
   struct OpenCall {
     std::uint32_t tenant = 0;
     bool recorded = false, deferred = false, accepted = false;
--- a/tests/controller/invoke_test.cpp
+++ b/tests/controller/invoke_test.cpp
@@ -47,11 +47,11 @@
 using Result = http::Exchange::Result;
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
-struct HttpTown : GatewayFixture {
+struct InvokeFixture : GatewayFixture {
   io::Address at{"127.0.0.1", 8080};
   int kills = 0;
-  explicit HttpTown(std::uint64_t seed = 1, const std::string& more_invoke = "", const std::string& more = "",
-                    bool ledger = true)
+  explicit InvokeFixture(std::uint64_t seed = 1, const std::string& more_invoke = "",
+                         const std::string& more = "", bool ledger = true)
       : GatewayFixture(2, seed, settings("", invoke_settings(more_invoke, more))) {
     with_ledger = ledger;
     start();
@@ -127,38 +127,38 @@
 };
 
 TEST(Invoke, ServesACall) {
-  HttpTown town;
-  const Result r = town.call("echo");
+  InvokeFixture fixture;
+  const Result r = fixture.call("echo");
   EXPECT_EQ(r.status, 200);
   EXPECT_EQ(r.body, "payload");
-  EXPECT_EQ(town.field(r, "Call-Outcome"), "served");
-  EXPECT_EQ(town.call("gate").status, 200);
-  EXPECT_EQ(town.call("status", {{"Call-Key", "k"}}).status, 200);
-  EXPECT_EQ(town.book->records(), 0U);  // plain calls leave no record
-  EXPECT_EQ(town.log.calls.size(), 3U);
+  EXPECT_EQ(fixture.field(r, "Call-Outcome"), "served");
+  EXPECT_EQ(fixture.call("gate").status, 200);
+  EXPECT_EQ(fixture.call("status", {{"Call-Key", "k"}}).status, 200);
+  EXPECT_EQ(fixture.book->records(), 0U);  // plain calls leave no record
+  EXPECT_EQ(fixture.log.calls.size(), 3U);
 }
 
 TEST(Invoke, RequiresTenantsBearerToken) {
-  HttpTown town;
+  InvokeFixture fixture;
   for (const char* authorization :
        {" ", "Bearer", "Bearer ", "Bearer wrong", "Basic secret-volta", "secret-volta", "Bearer secret-volt",
         "Bearer secret-voltaa", "Bearer SECRET-VOLTA"}) {
-    const Result r = town.call("echo", {{"Authorization", authorization}});
+    const Result r = fixture.call("echo", {{"Authorization", authorization}});
     EXPECT_EQ(r.status, 401) << authorization;
-    EXPECT_EQ(town.field(r, "WWW-Authenticate").substr(0, 6), "Bearer");
+    EXPECT_EQ(fixture.field(r, "WWW-Authenticate").substr(0, 6), "Bearer");
     EXPECT_EQ(
-        town.ask("GET", "/v1/calls/0-" + std::string(32, 'a'), {{"Authorization", authorization}}).status,
-        401);
-    EXPECT_EQ(
-        town.ask("DELETE", "/v1/calls/0-" + std::string(32, 'a'), {{"Authorization", authorization}}).status,
+        fixture.ask("GET", "/v1/calls/0-" + std::string(32, 'a'), {{"Authorization", authorization}}).status,
         401);
+    EXPECT_EQ(fixture.ask("DELETE", "/v1/calls/0-" + std::string(32, 'a'), {{"Authorization", authorization}})
+                  .status,
+              401);
   }
-  EXPECT_EQ(town.call("echo", {{"Authorization", "bearer  secret-gulf"}}).status, 200);
-  EXPECT_EQ(town.runs(), 1U);
+  EXPECT_EQ(fixture.call("echo", {{"Authorization", "bearer  secret-gulf"}}).status, 200);
+  EXPECT_EQ(fixture.runs(), 1U);
 }
 
 TEST(Invoke, ReportsInvalidRequests) {
-  HttpTown town;
+  InvokeFixture fixture;
   const std::vector<std::tuple<std::string, Fields, int, std::string>> bad{
       {"nobody", {}, 404, "unknown function: nobody"},
       {"echo", {{"Call-Deadline-Ms", "0"}}, 400, "expected milliseconds from 1 to 3600000, found 0"},
@@ -176,176 +176,177 @@
        "may not be posted"},
   };
   for (const auto& [function, fields, status, why] : bad) {
-    const Result r = town.call(function, fields);
+    const Result r = fixture.call(function, fields);
     EXPECT_EQ(r.status, status) << why;
-    EXPECT_NE(town.detail(r).find(why), std::string::npos) << town.detail(r);
-    EXPECT_EQ(town.field(r, "Content-Type"), "application/problem+json");
+    EXPECT_NE(fixture.detail(r).find(why), std::string::npos) << fixture.detail(r);
+    EXPECT_EQ(fixture.field(r, "Content-Type"), "application/problem+json");
     EXPECT_EQ(json::parse(r.body)["status"], status);
   }
-  EXPECT_EQ(town.ask("GET", "/v1/functions/echo/calls").status, 405);
-  EXPECT_EQ(town.ask("PUT", "/v1/calls/x").status, 405);
-  EXPECT_EQ(town.field(town.ask("PATCH", "/v1/openapi.json"), "Allow"), "GET, HEAD");
-  EXPECT_EQ(town.ask("GET", "/").status, 404);
-  EXPECT_EQ(town.ask("GET", "/v1/functions/echo").status, 404);
-  EXPECT_EQ(town.ask("GET", "/%zz").status, 400);
-  EXPECT_EQ(town.ask("GET", "/v1/calls/0-nothing").status, 404);
-  EXPECT_EQ(town.ask("GET", "/v1/calls/7-" + std::string(32, 'a')).status, 404);
-  EXPECT_EQ(town.runs(), 0U);
+  EXPECT_EQ(fixture.ask("GET", "/v1/functions/echo/calls").status, 405);
+  EXPECT_EQ(fixture.ask("PUT", "/v1/calls/x").status, 405);
+  EXPECT_EQ(fixture.field(fixture.ask("PATCH", "/v1/openapi.json"), "Allow"), "GET, HEAD");
+  EXPECT_EQ(fixture.ask("GET", "/").status, 404);
+  EXPECT_EQ(fixture.ask("GET", "/v1/functions/echo").status, 404);
+  EXPECT_EQ(fixture.ask("GET", "/%zz").status, 400);
+  EXPECT_EQ(fixture.ask("GET", "/v1/calls/0-nothing").status, 404);
+  EXPECT_EQ(fixture.ask("GET", "/v1/calls/7-" + std::string(32, 'a')).status, 404);
+  EXPECT_EQ(fixture.runs(), 0U);
 }
 
 TEST(Invoke, AcceptsOnlyPlainCallsWithoutLedger) {
-  HttpTown town(1, "", "", false);
-  EXPECT_EQ(town.call("echo").status, 200);
-  EXPECT_EQ(town.call("echo", {{"Idempotency-Key", "a"}}).status, 501);
-  EXPECT_EQ(town.call("echo", {{"Prefer", "respond-async"}}).status, 501);
+  InvokeFixture fixture(1, "", "", false);
+  EXPECT_EQ(fixture.call("echo").status, 200);
+  EXPECT_EQ(fixture.call("echo", {{"Idempotency-Key", "a"}}).status, 501);
+  EXPECT_EQ(fixture.call("echo", {{"Prefer", "respond-async"}}).status, 501);
 }
 
 TEST(Invoke, DeferredAnswerCanBePolled) {
-  HttpTown town;
-  const Result taken = town.call("gate", {{"Prefer", "respond-async"}});
+  InvokeFixture fixture;
+  const Result taken = fixture.call("gate", {{"Prefer", "respond-async"}});
   ASSERT_EQ(taken.status, 202);
-  EXPECT_EQ(town.field(taken, "Preference-Applied"), "respond-async");
+  EXPECT_EQ(fixture.field(taken, "Preference-Applied"), "respond-async");
   EXPECT_EQ(json::parse(taken.body)["state"], "open");
-  const std::string where = town.field(taken, "Location");
-  EXPECT_EQ(town.ask("GET", where).status, 202);
-  EXPECT_EQ(town.ask("GET", where, {{"Authorization", "Bearer secret-gulf"}}).status,
+  const std::string where = fixture.field(taken, "Location");
+  EXPECT_EQ(fixture.ask("GET", where).status, 202);
+  EXPECT_EQ(fixture.ask("GET", where, {{"Authorization", "Bearer secret-gulf"}}).status,
             404);  // also while it is open
-  EXPECT_EQ(town.ask("DELETE", where).status, 409);
-  const Result got = town.poll(where);
+  EXPECT_EQ(fixture.ask("DELETE", where).status, 409);
+  const Result got = fixture.poll(where);
   EXPECT_EQ(got.status, 200);
   EXPECT_EQ(got.body, "payload");
-  EXPECT_EQ(town.ask("HEAD", where).body, "");
-  EXPECT_EQ(town.ask("GET", where).status, 200);  // repeatable
-  EXPECT_EQ(town.ask("GET", where, {{"Authorization", "Bearer secret-gulf"}}).status,
+  EXPECT_EQ(fixture.ask("HEAD", where).body, "");
+  EXPECT_EQ(fixture.ask("GET", where).status, 200);  // repeatable
+  EXPECT_EQ(fixture.ask("GET", where, {{"Authorization", "Bearer secret-gulf"}}).status,
             404);  // another tenant's call
-  EXPECT_EQ(town.ask("DELETE", where, {{"Authorization", "Bearer secret-gulf"}}).status, 404);
-  EXPECT_EQ(town.ask("DELETE", where).status, 204);
-  EXPECT_EQ(town.ask("GET", where).status, 404);
-  EXPECT_EQ(town.runs(), 1U);
+  EXPECT_EQ(fixture.ask("DELETE", where, {{"Authorization", "Bearer secret-gulf"}}).status, 404);
+  EXPECT_EQ(fixture.ask("DELETE", where).status, 204);
+  EXPECT_EQ(fixture.ask("GET", where).status, 404);
+  EXPECT_EQ(fixture.runs(), 1U);
 }
 
 TEST(Invoke, PreferWaitReturnsAnswerWithinWait) {
-  HttpTown town;
-  EXPECT_EQ(town.call("echo", {{"Prefer", "respond-async, wait=5"}}).status, 200);
-  town.worker(1).set_silent(true), town.worker(2).set_silent(true);
-  const Time before = town.net.now();
-  EXPECT_EQ(town.call("echo", {{"Prefer", "respond-async, wait=1"}}).status, 202);
-  EXPECT_GE(town.net.now() - before, 1s);
+  InvokeFixture fixture;
+  EXPECT_EQ(fixture.call("echo", {{"Prefer", "respond-async, wait=5"}}).status, 200);
+  fixture.worker(1).set_silent(true), fixture.worker(2).set_silent(true);
+  const Time before = fixture.net.now();
+  EXPECT_EQ(fixture.call("echo", {{"Prefer", "respond-async, wait=1"}}).status, 202);
+  EXPECT_GE(fixture.net.now() - before, 1s);
 }
 
 TEST(Invoke, DeferredAnswerExpires) {
-  HttpTown town(1, "keep_s = 30\n");
-  const std::string where = town.field(town.call("echo", {{"Prefer", "respond-async"}}), "Location");
-  EXPECT_EQ(town.poll(where).status, 200);
-  town.net.run_for(25s);
-  EXPECT_EQ(town.ask("GET", where).status, 200);
-  town.net.run_for(10s);
-  EXPECT_EQ(town.ask("GET", where).status, 404);
-  EXPECT_EQ(town.book->records(), 0U);
+  InvokeFixture fixture(1, "keep_s = 30\n");
+  const std::string where = fixture.field(fixture.call("echo", {{"Prefer", "respond-async"}}), "Location");
+  EXPECT_EQ(fixture.poll(where).status, 200);
+  fixture.net.run_for(25s);
+  EXPECT_EQ(fixture.ask("GET", where).status, 200);
+  fixture.net.run_for(10s);
+  EXPECT_EQ(fixture.ask("GET", where).status, 404);
+  EXPECT_EQ(fixture.book->records(), 0U);
 }
 
 TEST(Invoke, DeferredCallsAreLimitedByTenant) {
-  HttpTown town(1, "most_deferred = 3\n");
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(town.call("echo", {{"Prefer", "respond-async"}}).status, 202);
-  const Result r = town.call("echo", {{"Prefer", "respond-async"}});
+  InvokeFixture fixture(1, "most_deferred = 3\n");
+  for (int i = 0; i < 3; ++i) EXPECT_EQ(fixture.call("echo", {{"Prefer", "respond-async"}}).status, 202);
+  const Result r = fixture.call("echo", {{"Prefer", "respond-async"}});
   EXPECT_EQ(r.status, 429);
-  EXPECT_EQ(town.field(r, "Retry-After"), "1");
-  EXPECT_EQ(town.call("echo", {{"Prefer", "respond-async"}, {"Authorization", "Bearer secret-gulf"}}).status,
-            202);
-  EXPECT_EQ(town.call("echo").status, 200);  // plain calls have no record
-  HttpTown large(1, "most_deferred_mb = 1\n");
+  EXPECT_EQ(fixture.field(r, "Retry-After"), "1");
+  EXPECT_EQ(
+      fixture.call("echo", {{"Prefer", "respond-async"}, {"Authorization", "Bearer secret-gulf"}}).status,
+      202);
+  EXPECT_EQ(fixture.call("echo").status, 200);  // plain calls have no record
+  InvokeFixture large(1, "most_deferred_mb = 1\n");
   EXPECT_EQ(large.call("echo", {{"Prefer", "respond-async"}}, std::string(900'000, 'x')).status, 202);
   EXPECT_EQ(large.call("echo", {{"Prefer", "respond-async"}}, std::string(900'000, 'x')).status, 202);
   EXPECT_EQ(large.call("echo", {{"Prefer", "respond-async"}}).status, 429);
 }
 
 TEST(Invoke, RepeatedKeyReturnsFirstAnswer) {
-  HttpTown town;
+  InvokeFixture fixture;
   const Fields key{{"Idempotency-Key", "\"pay-17\""}};
-  const Result first = town.call("gate", key), again = town.call("gate", key);
+  const Result first = fixture.call("gate", key), again = fixture.call("gate", key);
   EXPECT_EQ(first.status, 200);
   EXPECT_EQ(again.status, 200);
   EXPECT_EQ(again.body, "payload");
-  EXPECT_EQ(town.field(again, "Call-Replayed"), "true");
-  EXPECT_EQ(town.field(again, "Call-Id"), town.field(first, "Call-Id"));
-  EXPECT_EQ(town.runs(), 1U);
-  EXPECT_EQ(town.ask("GET", "/v1/calls/" + town.field(first, "Call-Id")).status, 200);
-  const Result other = town.call("gate", key, "another body");
+  EXPECT_EQ(fixture.field(again, "Call-Replayed"), "true");
+  EXPECT_EQ(fixture.field(again, "Call-Id"), fixture.field(first, "Call-Id"));
+  EXPECT_EQ(fixture.runs(), 1U);
+  EXPECT_EQ(fixture.ask("GET", "/v1/calls/" + fixture.field(first, "Call-Id")).status, 200);
+  const Result other = fixture.call("gate", key, "another body");
   EXPECT_EQ(other.status, 422);
-  EXPECT_EQ(town.call("echo", key).status, 422);
+  EXPECT_EQ(fixture.call("echo", key).status, 422);
   // Keys are separate for each tenant.
-  EXPECT_EQ(
-      town.call("gate", {{"Idempotency-Key", "\"pay-17\""}, {"Authorization", "Bearer secret-gulf"}}).status,
-      200);
-  EXPECT_EQ(town.runs(), 2U);
+  EXPECT_EQ(fixture.call("gate", {{"Idempotency-Key", "\"pay-17\""}, {"Authorization", "Bearer secret-gulf"}})
+                .status,
+            200);
+  EXPECT_EQ(fixture.runs(), 2U);
 }
 
 TEST(Invoke, RepeatedKeyJoinsOpenCall) {
-  HttpTown town;
+  InvokeFixture fixture;
   std::vector<Result> got;
   std::vector<std::unique_ptr<http::Exchange>> out;
   const auto request =
-      town.request("POST", "/v1/functions/gate/calls", {{"Idempotency-Key", "k"}}, "payload");
+      fixture.request("POST", "/v1/functions/gate/calls", {{"Idempotency-Key", "k"}}, "payload");
   for (int i = 0; i < 18; ++i)
-    out.push_back(std::make_unique<http::Exchange>(town.net, town.at, request, 20s, http::Limits{},
+    out.push_back(std::make_unique<http::Exchange>(fixture.net, fixture.at, request, 20s, http::Limits{},
                                                    [&](Result r) { got.push_back(std::move(r)); }));
   http::Request another = request;
   another.body = "another";
-  out.push_back(std::make_unique<http::Exchange>(town.net, town.at, another, 20s, http::Limits{},
+  out.push_back(std::make_unique<http::Exchange>(fixture.net, fixture.at, another, 20s, http::Limits{},
                                                  [&](Result r) { got.push_back(std::move(r)); }));
-  ASSERT_TRUE(town.net.run_until([&] { return got.size() == 19; }));
+  ASSERT_TRUE(fixture.net.run_until([&] { return got.size() == 19; }));
   std::map<int, int> statuses;
-  for (const Result& r : got) ++statuses[r.status], HttpTown::note("POST", request.target, r.status);
+  for (const Result& r : got) ++statuses[r.status], InvokeFixture::note("POST", request.target, r.status);
   // The first request to arrive determines the body for the key; exactly one call ran.
-  EXPECT_EQ(town.runs(), 1U);
+  EXPECT_EQ(fixture.runs(), 1U);
   EXPECT_EQ(statuses[200], statuses[422] == 18 ? 1 : 16);
   EXPECT_EQ(statuses[429], statuses[422] == 18 ? 0 : 2);
 }
 
 TEST(Invoke, RefusedCallRunsAgainWithSameKey) {
-  HttpTown town;
-  town.worker(1).set_full(true), town.worker(2).set_full(true);
+  InvokeFixture fixture;
+  fixture.worker(1).set_full(true), fixture.worker(2).set_full(true);
   const Fields key{{"Idempotency-Key", "k"}, {"Call-Deadline-Ms", "500"}};
-  const Result refused = town.call("gate", key);
+  const Result refused = fixture.call("gate", key);
   EXPECT_EQ(refused.status, 503);
   EXPECT_EQ(json::parse(refused.body)["outcome"], "refused");
-  town.worker(1).set_full(false), town.worker(2).set_full(false);
-  town.net.run_for(2s);
-  EXPECT_EQ(town.call("gate", key).status, 200);
-  EXPECT_EQ(town.runs(), 1U);
+  fixture.worker(1).set_full(false), fixture.worker(2).set_full(false);
+  fixture.net.run_for(2s);
+  EXPECT_EQ(fixture.call("gate", key).status, 200);
+  EXPECT_EQ(fixture.runs(), 1U);
 }
 
 TEST(Invoke, FailedCallStaysFailed) {
-  HttpTown town;
-  town.worker(1).fail_class("release", true), town.worker(2).fail_class("release", true);
+  InvokeFixture fixture;
+  fixture.worker(1).fail_class("release", true), fixture.worker(2).fail_class("release", true);
   const Fields key{{"Idempotency-Key", "k"}};
-  EXPECT_EQ(town.call("gate", key).status, 502);
-  town.worker(1).fail_class("release", false), town.worker(2).fail_class("release", false);
-  const Result again = town.call("gate", key);
+  EXPECT_EQ(fixture.call("gate", key).status, 502);
+  fixture.worker(1).fail_class("release", false), fixture.worker(2).fail_class("release", false);
+  const Result again = fixture.call("gate", key);
   EXPECT_EQ(again.status, 502);
   EXPECT_EQ(json::parse(again.body)["outcome"], "failed");
-  EXPECT_EQ(town.runs(), 1U);
+  EXPECT_EQ(fixture.runs(), 1U);
 }
 
 TEST(Invoke, AbandonsPlainCallOfDisconnectedClient) {
-  HttpTown town;
-  town.worker(1).set_full(true), town.worker(2).set_full(true);
+  InvokeFixture fixture;
+  fixture.worker(1).set_full(true), fixture.worker(2).set_full(true);
   for (const bool named : {false, true}) {
     {
       auto e = std::make_unique<http::Exchange>(
-          town.net, town.at,
-          town.request("POST", "/v1/functions/gate/calls", {{"Idempotency-Key", named ? "k" : ""}}, "x"), 20s,
-          http::Limits{}, [](const Result&) {});
-      town.net.run_for(50ms);
-      EXPECT_EQ(town.gateway->core().open(), 1U);
+          fixture.net, fixture.at,
+          fixture.request("POST", "/v1/functions/gate/calls", {{"Idempotency-Key", named ? "k" : ""}}, "x"),
+          20s, http::Limits{}, [](const Result&) {});
+      fixture.net.run_for(50ms);
+      EXPECT_EQ(fixture.gateway->core().open(), 1U);
     }
-    town.net.run_for(50ms);
+    fixture.net.run_for(50ms);
     // A named call can be asked for again, so it continues.
-    EXPECT_EQ(town.gateway->core().open(), named ? 1U : 0U);
+    EXPECT_EQ(fixture.gateway->core().open(), named ? 1U : 0U);
   }
-  EXPECT_EQ(town.gateway->core().counters().abandoned, 1U);
-  town.worker(1).set_full(false), town.worker(2).set_full(false);
-  EXPECT_EQ(town.call("gate", {{"Idempotency-Key", "k"}}, "x").status, 200);
+  EXPECT_EQ(fixture.gateway->core().counters().abandoned, 1U);
+  fixture.worker(1).set_full(false), fixture.worker(2).set_full(false);
+  EXPECT_EQ(fixture.call("gate", {{"Idempotency-Key", "k"}}, "x").status, 200);
 }
 
 // A client repeats its request with the same key until it is answered, while the gateway is killed at each
@@ -356,34 +357,34 @@
   int kills = 0;
   for (int nth = 1; nth <= 3; ++nth)
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-      HttpTown town(seed);
+      InvokeFixture fixture(seed);
       int passed = 0;
-      town.on_step = [&, s = std::string(step)](const char* at) {
+      fixture.on_step = [&, s = std::string(step)](const char* at) {
         if (s == at && ++passed == nth) throw Killed{};
       };
       for (int i = 0; i < 3; ++i) {
-        const std::size_t before = town.runs();
+        const std::size_t before = fixture.runs();
         const Fields fields{{"Idempotency-Key", "k" + std::to_string(i)},
                             {"Prefer", deferred ? "respond-async" : ""}};
         Result r;
         std::string where;
         for (int tries = 0; tries < 50 && (r.status == 0 || r.status == 202); ++tries) {
-          r = where.empty() ? town.call("gate", fields) : town.ask("GET", where);
-          if (r.status == 202) where = HttpTown::field(r, "Location");
-          if (r.status == 202 || r.status == 0) town.run_for(40ms);
+          r = where.empty() ? fixture.call("gate", fields) : fixture.ask("GET", where);
+          if (r.status == 202) where = InvokeFixture::field(r, "Location");
+          if (r.status == 202 || r.status == 0) fixture.run_for(40ms);
         }
         EXPECT_TRUE(r.status == 200 || r.status == 502) << r.status << " " << step << " " << r.body;
-        EXPECT_LE(town.runs() - before, 1U) << step << " " << nth << " seed " << seed;
+        EXPECT_LE(fixture.runs() - before, 1U) << step << " " << nth << " seed " << seed;
         if (r.status == 200) {
-          EXPECT_EQ(town.runs() - before, 1U);
+          EXPECT_EQ(fixture.runs() - before, 1U);
         }
-        const Result again = town.call("gate", fields);
+        const Result again = fixture.call("gate", fields);
         EXPECT_EQ(again.status, r.status) << step;
         EXPECT_EQ(again.body, r.body) << step;
-        town.run_for(3s);
-        EXPECT_LE(town.runs() - before, 1U) << step;
+        fixture.run_for(3s);
+        EXPECT_LE(fixture.runs() - before, 1U) << step;
       }
-      kills += town.kills;
+      kills += fixture.kills;
     }
   const std::string s = step;
   const bool expected = s.starts_with("attempt-") || s.starts_with("answer-queued") ||
@@ -402,19 +403,19 @@
                          });
 
 TEST(Invoke, DeferredCallsAreAnsweredAfterKill) {
-  HttpTown town;
-  town.worker(1).set_silent(true), town.worker(2).set_silent(true);
+  InvokeFixture fixture;
+  fixture.worker(1).set_silent(true), fixture.worker(2).set_silent(true);
   std::vector<std::string> where;
   for (int i = 0; i < 5; ++i)
-    where.push_back(HttpTown::field(town.call("gate", {{"Prefer", "respond-async"}}), "Location"));
-  town.kill_gateway();
-  town.net.run_for(10s);
-  town.start_gateway();
+    where.push_back(InvokeFixture::field(fixture.call("gate", {{"Prefer", "respond-async"}}), "Location"));
+  fixture.kill_gateway();
+  fixture.net.run_for(10s);
+  fixture.start_gateway();
   for (const std::string& w : where) {
-    const Result r = town.poll(w);
+    const Result r = fixture.poll(w);
     EXPECT_TRUE(r.status == 502 || r.status == 503) << r.status << r.body;
   }
-  EXPECT_EQ(town.runs(), 0U);
+  EXPECT_EQ(fixture.runs(), 0U);
 }
 
 // ---- Callbacks --------------------------------------------------------------------------------------------
@@ -438,44 +439,44 @@
 const Fields kCallback{{"Prefer", "respond-async"}, {"Call-Callback", "http://127.0.0.1:9000/done?x=1"}};
 
 TEST(Invoke, PostsAnswerToCallback) {
-  HttpTown town;
-  Listener listener(town.net);
+  InvokeFixture fixture;
+  Listener listener(fixture.net);
   listener.refuse = 2;
-  const Result taken = town.call("gate", kCallback);
-  ASSERT_TRUE(town.net.run_until([&] { return listener.got.size() == 3; }));
-  town.net.run_for(60s);
+  const Result taken = fixture.call("gate", kCallback);
+  ASSERT_TRUE(fixture.net.run_until([&] { return listener.got.size() == 3; }));
+  fixture.net.run_for(60s);
   ASSERT_EQ(listener.got.size(), 3U);
   for (const auto& r : listener.got) {
     EXPECT_EQ(r.target, "/done?x=1");
     EXPECT_EQ(r.body, "payload");
     EXPECT_EQ(*r.headers.find("Call-Outcome"), "served");
-    EXPECT_EQ(*r.headers.find("Idempotency-Key"), "\"" + HttpTown::field(taken, "Call-Id") + "\"");
+    EXPECT_EQ(*r.headers.find("Idempotency-Key"), "\"" + InvokeFixture::field(taken, "Call-Id") + "\"");
   }
-  EXPECT_EQ(town.ask("GET", HttpTown::field(taken, "Location")).status, 200);
+  EXPECT_EQ(fixture.ask("GET", InvokeFixture::field(taken, "Location")).status, 200);
 }
 
 TEST(Invoke, GivesUpCallbackAfterConfiguredAttempts) {
-  HttpTown town;
-  Listener listener(town.net);
+  InvokeFixture fixture;
+  Listener listener(fixture.net);
   listener.refuse = 1000;
-  const Result taken = town.call("gate", kCallback);
-  town.net.run_for(300s);
+  const Result taken = fixture.call("gate", kCallback);
+  fixture.net.run_for(300s);
   EXPECT_EQ(listener.got.size(), 5U);
-  EXPECT_TRUE(town.log.contains("was not accepted by its callback in 5 attempts: status 500"));
-  EXPECT_EQ(town.ask("GET", HttpTown::field(taken, "Location")).status, 200);
+  EXPECT_TRUE(fixture.log.contains("was not accepted by its callback in 5 attempts: status 500"));
+  EXPECT_EQ(fixture.ask("GET", InvokeFixture::field(taken, "Location")).status, 200);
 }
 
 TEST(Invoke, PendingCallbackIsSentAfterKill) {
-  HttpTown town;
-  const Result taken = town.call("gate", kCallback);  // nobody listens yet
-  town.net.run_for(2s);
-  town.kill_gateway();
-  Listener listener(town.net);
-  town.start_gateway();
-  ASSERT_TRUE(town.net.run_until([&] { return !listener.got.empty(); }));
-  town.net.run_for(60s);
+  InvokeFixture fixture;
+  const Result taken = fixture.call("gate", kCallback);  // nobody listens yet
+  fixture.net.run_for(2s);
+  fixture.kill_gateway();
+  Listener listener(fixture.net);
+  fixture.start_gateway();
+  ASSERT_TRUE(fixture.net.run_until([&] { return !listener.got.empty(); }));
+  fixture.net.run_for(60s);
   EXPECT_EQ(listener.got.size(), 1U);
-  EXPECT_EQ(town.runs(), 1U);
+  EXPECT_EQ(fixture.runs(), 1U);
 }
 
 // ---- Several controllers ----------------------------------------------------------------------------------
@@ -491,59 +492,59 @@
     t.replace(t.find("127.0.0.1:8080"), 14, "127.0.0.1:" + std::to_string(8080 + me));
     return t;
   };
-  HttpTown town;
-  town.kill_gateway();
-  town.config = std::make_shared<const config::Settings>(*config::parse(text(0), "0").settings);
-  town.start_gateway();
+  InvokeFixture fixture;
+  fixture.kill_gateway();
+  fixture.config = std::make_shared<const config::Settings>(*config::parse(text(0), "0").settings);
+  fixture.start_gateway();
   const auto other_settings = std::make_shared<const config::Settings>(*config::parse(text(1), "1").settings);
   store::MemoryDisk disk;
-  store::MemoryStore store(town.net, disk);
-  ledger::Book book(town.net, store, {});
+  store::MemoryStore store(fixture.net, disk);
+  ledger::Book book(fixture.net, store, {});
   ASSERT_FALSE(book.load());
   Log log;
-  controller::Gateway other(town.net, other_settings, log, 9, 1, &book);
+  controller::Gateway other(fixture.net, other_settings, log, 9, 1, &book);
   other.start();
-  town.net.run_for(500ms);
+  fixture.net.run_for(500ms);
   int moved = 0;
   for (int i = 0; i < 20; ++i) {
     const Fields fields{{"Idempotency-Key", "k" + std::to_string(i)}, {"Prefer", "respond-async"}};
-    town.at.port = 8080;
-    Result here = town.call("gate", fields);
+    fixture.at.port = 8080;
+    Result here = fixture.call("gate", fields);
     if (here.status == 307) {
       ++moved;
-      EXPECT_EQ(HttpTown::field(here, "Location"), "http://127.0.0.1:8081/v1/functions/gate/calls");
-      town.at.port = 8081;
-      here = town.call("gate", fields);
+      EXPECT_EQ(InvokeFixture::field(here, "Location"), "http://127.0.0.1:8081/v1/functions/gate/calls");
+      fixture.at.port = 8081;
+      here = fixture.call("gate", fields);
     }
     ASSERT_EQ(here.status, 202);
-    const std::string where = HttpTown::field(here, "Location");
-    ASSERT_EQ(town.poll(where).status, 200);
+    const std::string where = InvokeFixture::field(here, "Location");
+    ASSERT_EQ(fixture.poll(where).status, 200);
     // The other controller redirects both a repeat of the key and a poll.
-    const int owner = town.at.port;
-    town.at.port = static_cast<std::uint16_t>(8080 + 8081 - owner);
-    EXPECT_EQ(town.call("gate", fields).status, 307);
-    const Result polled = town.ask("GET", where);
+    const int owner = fixture.at.port;
+    fixture.at.port = static_cast<std::uint16_t>(8080 + 8081 - owner);
+    EXPECT_EQ(fixture.call("gate", fields).status, 307);
+    const Result polled = fixture.ask("GET", where);
     EXPECT_EQ(polled.status, 307);
-    EXPECT_EQ(HttpTown::field(polled, "Location"), "http://127.0.0.1:" + std::to_string(owner) + where);
-    EXPECT_EQ(town.ask("DELETE", where).status, 307);
+    EXPECT_EQ(InvokeFixture::field(polled, "Location"), "http://127.0.0.1:" + std::to_string(owner) + where);
+    EXPECT_EQ(fixture.ask("DELETE", where).status, 307);
   }
   EXPECT_GT(moved, 3);
   EXPECT_LT(moved, 17);
-  EXPECT_EQ(town.runs(), 20U);
+  EXPECT_EQ(fixture.runs(), 20U);
 }
 
 TEST(Invoke, NamesOwnerWithUnknownAddress) {
-  HttpTown town;
-  town.kill_gateway();
+  InvokeFixture fixture;
+  fixture.kill_gateway();
   std::string text = settings_text("", invoke_settings());
   text.replace(text.find("name = \"gw-0\""), 13, "name = \"gw-0\"\nreplicas = 2");
-  town.config = std::make_shared<const config::Settings>(*config::parse(text, "t").settings);
-  town.start_gateway();
-  town.net.run_for(100ms);
+  fixture.config = std::make_shared<const config::Settings>(*config::parse(text, "t").settings);
+  fixture.start_gateway();
+  fixture.net.run_for(100ms);
   int said = 0;
   for (int i = 0; i < 10; ++i) {
-    const Result r = town.call("gate", {{"Idempotency-Key", "k" + std::to_string(i)}});
-    said += r.status == 503 && HttpTown::detail(r).find("controller 1 holds this") != std::string::npos;
+    const Result r = fixture.call("gate", {{"Idempotency-Key", "k" + std::to_string(i)}});
+    said += r.status == 503 && InvokeFixture::detail(r).find("controller 1 holds this") != std::string::npos;
   }
   EXPECT_GT(said, 0);
 }
@@ -551,59 +552,59 @@
 // ---- Trouble ----------------------------------------------------------------------------------------------
 
 TEST(Invoke, RefusesDeferredCallsWhenDiskIsFull) {
-  HttpTown town;
-  EXPECT_EQ(town.call("gate", {{"Idempotency-Key", "warm"}}).status, 200);
-  town.disk.full = true;
-  town.call("gate", {{"Prefer", "respond-async"}, {"Call-Deadline-Ms", "200"}}, "x");
-  town.net.run_for(500ms);
-  const Result r = town.call("gate", {{"Prefer", "respond-async"}});
+  InvokeFixture fixture;
+  EXPECT_EQ(fixture.call("gate", {{"Idempotency-Key", "warm"}}).status, 200);
+  fixture.disk.full = true;
+  fixture.call("gate", {{"Prefer", "respond-async"}, {"Call-Deadline-Ms", "200"}}, "x");
+  fixture.net.run_for(500ms);
+  const Result r = fixture.call("gate", {{"Prefer", "respond-async"}});
   EXPECT_EQ(r.status, 503);
-  EXPECT_NE(HttpTown::detail(r).find("no space left"), std::string::npos) << HttpTown::detail(r);
-  EXPECT_EQ(town.field(r, "Retry-After"), "1");
-  EXPECT_EQ(town.call("echo").status, 200);  // a plain call needs no record
-  town.disk.full = false;
-  town.net.run_for(2s);
-  EXPECT_EQ(town.call("gate", {{"Idempotency-Key", "after"}}).status, 200);
+  EXPECT_NE(InvokeFixture::detail(r).find("no space left"), std::string::npos) << InvokeFixture::detail(r);
+  EXPECT_EQ(fixture.field(r, "Retry-After"), "1");
+  EXPECT_EQ(fixture.call("echo").status, 200);  // a plain call needs no record
+  fixture.disk.full = false;
+  fixture.net.run_for(2s);
+  EXPECT_EQ(fixture.call("gate", {{"Idempotency-Key", "after"}}).status, 200);
 }
 
 TEST(Invoke, DrainAnswersAcceptedCalls) {
-  HttpTown town;
+  InvokeFixture fixture;
   std::optional<Result> got;
-  http::Exchange e(town.net, town.at, town.request("POST", "/v1/functions/gate/calls", {}, "x"), 20s, {},
-                   [&](Result r) { got = std::move(r); });
-  town.net.run_for(20ms);
+  http::Exchange e(fixture.net, fixture.at, fixture.request("POST", "/v1/functions/gate/calls", {}, "x"), 20s,
+                   {}, [&](Result r) { got = std::move(r); });
+  fixture.net.run_for(20ms);
   std::optional<bool> drained;
-  town.gateway->drain([&](bool all) { drained = all; });
-  ASSERT_TRUE(town.net.run_until([&] { return drained.has_value(); }));
+  fixture.gateway->drain([&](bool all) { drained = all; });
+  ASSERT_TRUE(fixture.net.run_until([&] { return drained.has_value(); }));
   EXPECT_TRUE(*drained);
-  town.net.run_for(10ms);
+  fixture.net.run_for(10ms);
   ASSERT_TRUE(got);
   EXPECT_EQ(got->status, 200);
 }
 
 // A request that was only partly received when the drain began is answered with 503 and is not run.
 TEST(Invoke, RejectsRequestsWhileDraining) {
-  HttpTown town;
+  InvokeFixture fixture;
   struct Half : io::ConnectionEvents {
     std::string heard;
     std::size_t on_bytes(std::string_view b) override { return heard += b, b.size(); }
     void on_closed(io::Closed) override {}
   } half;
   std::optional<Result> got;  // an open call keeps the gateway running meanwhile
-  http::Exchange e(town.net, town.at, town.request("POST", "/v1/functions/gate/calls", {}, "x"), 20s, {},
-                   [&](Result r) { got = std::move(r); });
+  http::Exchange e(fixture.net, fixture.at, fixture.request("POST", "/v1/functions/gate/calls", {}, "x"), 20s,
+                   {}, [&](Result r) { got = std::move(r); });
   std::string text;
-  http::write(text, town.request("POST", "/v1/functions/gate/calls", {}, "y"));
-  auto connection = town.net.connect(town.at, {}, half);
-  town.net.run_for(5ms);
+  http::write(text, fixture.request("POST", "/v1/functions/gate/calls", {}, "y"));
+  auto connection = fixture.net.connect(fixture.at, {}, half);
+  fixture.net.run_for(5ms);
   connection->write(text.substr(0, text.size() / 2));
-  town.net.run_for(5ms);
-  town.gateway->drain([](bool) {});
+  fixture.net.run_for(5ms);
+  fixture.gateway->drain([](bool) {});
   connection->write(text.substr(text.size() / 2));
-  ASSERT_TRUE(town.net.run_until([&] { return half.heard.find("\r\n\r\n") != std::string::npos; }));
+  ASSERT_TRUE(fixture.net.run_until([&] { return half.heard.find("\r\n\r\n") != std::string::npos; }));
   EXPECT_TRUE(half.heard.starts_with("HTTP/1.1 503 ")) << half.heard;
-  ASSERT_TRUE(town.net.run_until([&] { return got.has_value(); }));
-  EXPECT_EQ(town.runs(), 1U);
+  ASSERT_TRUE(fixture.net.run_until([&] { return got.has_value(); }));
+  EXPECT_EQ(fixture.runs(), 1U);
 }
 
 // ---- The OpenAPI document ---------------------------------------------------------------------------------
@@ -611,8 +612,8 @@
 // The suite's name makes it run last: every observed status must be documented, and every documented one
 // observed.
 TEST(InvokeZ, OpenApiDocumentMatchesObservedResponses) {
-  HttpTown town;
-  const Result served = town.ask("GET", "/v1/openapi.json", {{"Authorization", "none"}});
+  InvokeFixture fixture;
+  const Result served = fixture.ask("GET", "/v1/openapi.json", {{"Authorization", "none"}});
   ASSERT_EQ(served.status, 200);
   std::ifstream in(LAURELTIDE_DOCS "/openapi.json");
   std::ostringstream shipped;
