--- a/tests/apps/call_run_twice_test.cpp
+++ b/tests/apps/call_run_twice_test.cpp
@@ -122,7 +122,7 @@
   }
 
   // Rules 1 and 2, and that the service goes on.
-  void judge(double least_served) {
+  void expect_rules_kept(double least_served) {
     ASSERT_TRUE(all_answered()) << logs();
     std::map<std::uint64_t, int> runs;
     for (const auto& worker : workers)
@@ -147,10 +147,10 @@
   }
 };
 
-class CopiedRefusal : public CallRunTwice, public testing::WithParamInterface<std::uint8_t> {};
+class DuplicateRefusal : public CallRunTwice, public testing::WithParamInterface<std::uint8_t> {};
 
 // The copy of an earlier refusal comes when the next attempt of the same call is out at the same worker.
-TEST_P(CopiedRefusal, IsNotTakenForTheAnswerOfTheNextAttempt) {
+TEST_P(DuplicateRefusal, IsNotTakenAsAnswerOfNextAttempt) {
   ASSERT_NO_FATAL_FAILURE(start(1, 1));
   load(4);
   workers[0]->refuse_first(GetParam());
@@ -159,19 +159,19 @@
     call(*clients[0], true, kFirstFunction + n % 4);
     ::laureltide::tests::run_for(loop, 25ms);
   }
-  judge(0.9);
+  expect_rules_kept(0.9);
   // The log says over which connections the attempts went.
   EXPECT_NE(logs().find("repeat: call 0000000000001004 class release end So attempts w1/c"),
             std::string::npos)
       << logs();
 }
 
-INSTANTIATE_TEST_SUITE_P(Node, CopiedRefusal, testing::Values(kMiss, kFull, kOver), [](const auto& info) {
+INSTANTIATE_TEST_SUITE_P(Node, DuplicateRefusal, testing::Values(kMiss, kFull, kOver), [](const auto& info) {
   return info.param == kMiss ? "Miss" : info.param == kFull ? "Full" : "Over";
 });
 
 // Half of all answers, those to orders too, come again up to 450 ms later; connections are few.
-TEST_F(CallRunTwice, NeverWithCopiesOfAnyAnswerAtAnyTimeAndFewConnections) {
+TEST_F(CallRunTwice, DuplicateAnswersAtAnyTimeWithFewConnections) {
   ASSERT_NO_FATAL_FAILURE(start(3, 2, 64));
   for (const auto& worker : workers) {
     worker->refuse_some(kMiss, 0.3);
@@ -182,7 +182,7 @@
     for (const auto& client : clients) call(*client, n % 3 != 0, kFirstFunction + n % 12), ++n;
     ::laureltide::tests::run_for(loop, 20ms);
   }
-  judge(0.5);
+  expect_rules_kept(0.5);
 }
 
 }  // namespace
--- a/tests/apps/discovery_outage_test.cpp
+++ b/tests/apps/discovery_outage_test.cpp
@@ -32,9 +32,9 @@
 using standin::PlatformInvoker;
 
 constexpr Duration kDrainGrace = 300ms;
-constexpr Duration kPageSlack = 50ms;  // the protocol's on each time limit
+constexpr Duration kProtocolSlack = 50ms;  // the protocol's on each time limit
 // What this process may be late in reading on a busy machine. The fault goes on for seconds.
-constexpr Duration kReadLate = 700ms;
+constexpr Duration kReadDelayAllowance = 700ms;
 constexpr int kWorkers = 8;
 constexpr int kFunctions = 6;
 
@@ -42,7 +42,7 @@
 struct OutageCase {
   const char* name;
   Kind kind;
-  Duration told_after;  // when a later change of the list counts as told, from the protocol's pages
+  Duration notified_after;  // when a later change of the list counts as told, from the protocol's pages
 };
 
 void PrintTo(const OutageCase& outage, std::ostream* out) { *out << outage.name; }
@@ -122,10 +122,10 @@
     }
   }
   void drain(int worker) {
-    const auto place = static_cast<std::size_t>(worker);
-    workers[place]->set_draining(true);
-    drained_at[place] = loop.now();
-    bus.tell({{"s-" + std::to_string(worker), workers[place]->address(), "leaving", 0, 0}});
+    const auto index = static_cast<std::size_t>(worker);
+    workers[index]->set_draining(true);
+    drained_at[index] = loop.now();
+    bus.tell({{"s-" + std::to_string(worker), workers[index]->address(), "leaving", 0, 0}});
   }
   void begin_outage() {
     switch (GetParam().kind) {
@@ -149,7 +149,7 @@
   }
 };
 
-TEST_P(DiscoveryOutage, NothingNewGoesToWorkersThatDrainWithinIt) {
+TEST_P(DiscoveryOutage, SendsNothingNewToWorkersThatDrainDuringOutage) {
   traffic(2s);
   const Time began = loop.now();
   const std::size_t sent_before = sent, served_before = served();
@@ -171,11 +171,11 @@
   const std::size_t sent_within = sent - sent_before, served_within = served() - served_before;
 
   for (const int worker : {0, 1, 2, 3}) {
-    const auto place = static_cast<std::size_t>(worker);
-    const Time told = std::max(drained_at[place], began + GetParam().told_after);
-    const Time latest = told + kDrainGrace + kPageSlack + kReadLate;
+    const auto index = static_cast<std::size_t>(worker);
+    const Time notified_at = std::max(drained_at[index], began + GetParam().notified_after);
+    const Time latest = notified_at + kDrainGrace + kProtocolSlack + kReadDelayAllowance;
     std::size_t calls = 0, orders = 0;
-    for (const PlatformInvoker::SentWhileDraining& seen : workers[place]->sent_while_draining())
+    for (const PlatformInvoker::SentWhileDraining& seen : workers[index]->sent_while_draining())
       if (seen.at > latest) ++(seen.code == 65 ? calls : orders);
     EXPECT_EQ(calls, 0U) << "worker " << worker << ": calls past the told time and the grace";
     EXPECT_EQ(orders, 0U) << "worker " << worker << ": orders past the told time and the grace";
@@ -204,7 +204,7 @@
 
 // The node stands still (SIGSTOP) while discovery goes and workers drain. What lies in its sockets when it
 // goes on, comments of the bus among it, says nothing of now.
-TEST_P(DiscoveryOutage, ANodeThatStoodStillDoesNotGoOnFromWhereItWas) {
+TEST_P(DiscoveryOutage, SuspendedNodeDoesNotTrustStaleListAfterResume) {
   traffic(2s);
   for (const auto& node : nodes) node->signal(SIGSTOP);
   ::laureltide::tests::run_for(loop, 1500ms);  // a comment or two
@@ -212,17 +212,17 @@
   begin_outage();
   ::laureltide::tests::run_for(loop, 500ms);
   for (const int worker : {0, 1, 2}) drain(worker);
-  ::laureltide::tests::run_for(loop, GetParam().told_after + kDrainGrace + kPageSlack);
+  ::laureltide::tests::run_for(loop, GetParam().notified_after + kDrainGrace + kProtocolSlack);
   for (const auto& node : nodes) node->signal(SIGCONT);
   const std::size_t sent_before = sent, served_before = served();
   traffic(3s);
   ::laureltide::tests::run_for(loop, 500ms);
   for (const int worker : {0, 1, 2}) {
-    const auto place = static_cast<std::size_t>(worker);
-    const Time told = std::max(drained_at[place], began + GetParam().told_after);
-    const Time latest = told + kDrainGrace + kPageSlack;
-    EXPECT_EQ(std::count_if(workers[place]->sent_while_draining().begin(),
-                            workers[place]->sent_while_draining().end(),
+    const auto index = static_cast<std::size_t>(worker);
+    const Time notified_at = std::max(drained_at[index], began + GetParam().notified_after);
+    const Time latest = notified_at + kDrainGrace + kProtocolSlack;
+    EXPECT_EQ(std::count_if(workers[index]->sent_while_draining().begin(),
+                            workers[index]->sent_while_draining().end(),
                             [&](const auto& seen) { return seen.at > latest; }),
               0)
         << "worker " << worker << "\n"
--- a/tests/apps/node_program_test.cpp
+++ b/tests/apps/node_program_test.cpp
@@ -34,7 +34,7 @@
   io::Address at{"127.0.0.1", port.port()};
   json doc = node::tests::config();
   std::unique_ptr<Child> child;
-  std::uint64_t ids = 0x1000;
+  std::uint64_t next_id = 0x1000;
 
   NodeProgram() {
     bus.start(), invoker.start();
@@ -62,7 +62,7 @@
     return tests::run_until(loop, done, most);
   }
   // A client whose call was served: the node decides and serves.
-  std::unique_ptr<PlatformClient> ready() {
+  std::unique_ptr<PlatformClient> served_client() {
     std::unique_ptr<PlatformClient> client;
     const bool good = run_until([&] {
       if (!client || client->closed()) {
@@ -80,14 +80,14 @@
   }
   std::int32_t call(PlatformClient& client) {
     return client.call({{"op", "read"},
-                        {"call", platform::id_text(ids++)},
+                        {"call", platform::id_text(next_id++)},
                         {"ttl", "900"},
                         {"org", "yard"},
                         {"row", "00000000000000f1"},
                         {"work", "8"}},
                        "b");
   }
-  int ends() {
+  int exit_status() {
     EXPECT_TRUE(run_until([&] { return !child->running(); })) << log();
     return child->wait(1s);
   }
@@ -95,15 +95,15 @@
 
 class Signals : public NodeProgram, public testing::WithParamInterface<std::vector<int>> {};
 
-TEST_P(Signals, CrossCallsInFlightAndEndWithNothingOwed) {
+TEST_P(Signals, AnswersCallsInFlightBeforeExit) {
   start();
-  const auto client = ready();
+  const auto client = served_client();
   std::vector<std::int32_t> numbers;
   for (int i = 0; i < 4; ++i) numbers.push_back(call(*client));
   const std::size_t before = invoker.calls().size();
   ASSERT_TRUE(run_until([&] { return invoker.calls().size() == before + 4; })) << log();
   for (const int number : GetParam()) child->signal(number);
-  EXPECT_EQ(ends(), 0) << log();
+  EXPECT_EQ(exit_status(), 0) << log();
   for (const auto n : numbers) {
     ASSERT_EQ(client->replies().count(n), 1U);
     EXPECT_EQ(client->replies().find(n)->second.kind, "served");
@@ -118,7 +118,7 @@
 
 // Sent while the program reads its configuration, before it has a handler: it waits, and counts when it
 // serves.
-TEST_F(NodeProgram, AHangUpBeforeItServesDoesNotEndIt) {
+TEST_F(NodeProgram, HandlesSighupReceivedBeforeServing) {
   const std::string path = dir + "/config.json", gate = dir + "/gate";
   ASSERT_EQ(mkfifo(gate.c_str(), 0600), 0);
   setenv("ROUTER_CONFIG", gate.c_str(), 1);
@@ -133,18 +133,18 @@
   std::filesystem::rename(path, gate);  // what it reads when it hears of the signal
   ASSERT_EQ(::write(fd, text.data(), text.size()), static_cast<ssize_t>(text.size()));
   close(fd);
-  const auto client = ready();
+  const auto client = served_client();
   EXPECT_TRUE(run_until([&] { return log().find("bus: expected ADDRESS:PORT") != std::string::npos; }))
       << log();
   child->signal(SIGTERM);
-  EXPECT_EQ(ends(), 0);
+  EXPECT_EQ(exit_status(), 0);
 }
 
 // Killed with calls in flight, and started again while its old connections' leftovers are still there.
-TEST_F(NodeProgram, AKillAndARestartAtTheSameAddress) {
+TEST_F(NodeProgram, RestartsAtSameAddressAfterKill) {
   start();
-  for (int life = 0; life < 3; ++life) {
-    const auto client = ready();
+  for (int incarnation = 0; incarnation < 3; ++incarnation) {
+    const auto client = served_client();
     RawSocket keeps(at);
     call(*client), call(*client);
     const std::size_t before = invoker.calls().size();
@@ -152,17 +152,17 @@
     child->signal(SIGKILL);
     child->wait(10s);
     start();  // with the old clients' ends still open
-    const auto next = ready();
+    const auto next = served_client();
     EXPECT_FALSE(client->open());
   }
 }
 
 // A configuration that cannot be used: exit 2, and the line says what, where, and what was expected.
-TEST_F(NodeProgram, ABadConfigurationIsNamed) {
+TEST_F(NodeProgram, NamesInvalidSetting) {
   doc["settings"]["rules"]["cold_ns"] = "soon";
   write();
   start();
-  EXPECT_EQ(ends(), 2);
+  EXPECT_EQ(exit_status(), 2);
   EXPECT_NE(log().find("settings.rules.cold_ns: expected a number, 0 or above, not \"soon\""),
             std::string::npos)
       << log();
@@ -170,7 +170,7 @@
 
 // All descriptors that clients may have are taken by ones that say nothing, while discovery is down. The
 // watch comes up again, the list it tells counts, and a call is served on a connection of its own.
-TEST_F(NodeProgram, IdleClientsLeaveDescriptorsForTheWatchTheListenerAndTheLinks) {
+TEST_F(NodeProgram, IdleClientsLeaveDescriptorsForEventBusListenerAndLinks) {
   constexpr rlim_t kFew = 64;
   doc["limits"]["sockets"] = kFew;
   write();
@@ -180,7 +180,7 @@
   setrlimit(RLIMIT_NOFILE, &few);
   start();
   setrlimit(RLIMIT_NOFILE, &whole);
-  ready();
+  served_client();
   bus.stop();
   std::vector<std::unique_ptr<PlatformClient>> idle;
   for (int i = 0; i < 200; ++i) {
@@ -197,11 +197,11 @@
   const std::size_t asked = bus.asked();
   bus.tell({{"s-1", invoker.address(), "left", 0, 0}, {"s-2", fresh.address(), "active", 0, 0}});
   ASSERT_TRUE(run_until([&] { return bus.asked() > asked; })) << log();
-  ready();
+  served_client();
   EXPECT_FALSE(fresh.calls().empty());
   EXPECT_EQ(log().find("accept"), std::string::npos) << log();
   child->signal(SIGTERM);
-  EXPECT_EQ(ends(), 0);
+  EXPECT_EQ(exit_status(), 0);
 }
 
 }  // namespace
--- a/tests/apps/programs_test.cpp
+++ b/tests/apps/programs_test.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 const std::string kBin = LAURELTIDE_BIN, kExamples = LAURELTIDE_EXAMPLES;
 
-std::string slurp(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream in(path);
   std::ostringstream text;
   text << in.rdbuf();
@@ -27,14 +27,14 @@
     std::error_code error;
     std::filesystem::remove_all(dir, error);
   }
-  std::string log() const { return slurp(dir + "/log"); }
+  std::string log() const { return read_file(dir + "/log"); }
   int run(std::vector<std::string> words, Duration most = 120s) {
     words[0] = kBin + "/" + words[0];
     Child child(words, dir + "/log");
     return child.wait(most);
   }
   // All that a program says on its standard output.
-  std::string said(std::vector<std::string> words) {
+  std::string output(std::vector<std::string> words) {
     words[0] = kBin + "/" + words[0];
     Child child(words, dir + "/log");
     std::string all;
@@ -57,7 +57,7 @@
   }
 };
 
-TEST_F(Programs, CheckSaysEveryErrorWithItsLine) {
+TEST_F(Programs, CheckReportsEachErrorWithItsLine) {
   EXPECT_EQ(run({"laureltide", "check", "--config", kExamples + "/gateway.toml"}), 0);
   const std::string bad = write("bad.toml", "[bounds]\nopen_calls = 0\nnonsense = 1\n");
   EXPECT_EQ(run({"laureltide", "check", "--config", bad}), 2);
@@ -67,16 +67,16 @@
   EXPECT_EQ(run({"laureltide", "serve", "--config", dir + "/none.toml"}), 2);
 }
 
-TEST_F(Programs, HelpAndVersion) {
+TEST_F(Programs, PrintsHelpAndVersion) {
   for (const char* program : {"laureltide", "laureltide-standin", "laureltide-play"})
     EXPECT_EQ(run({program, "--help"}), 0) << program;
   EXPECT_EQ(run({"laureltide", "--version"}), 0);
 }
 
-TEST_F(Programs, HangUpReloadsABadFileChangesNothingAndTermEndsInOrder) {
-  std::string text = slurp(kExamples + "/gateway.toml");
+TEST_F(Programs, SighupReloadsSettingsAndSigtermDrains) {
+  std::string text = read_file(kExamples + "/gateway.toml");
   text.replace(text.find("examples/workers.json"), 21,
-               write("workers.json", slurp(kExamples + "/workers.json")));
+               write("workers.json", read_file(kExamples + "/workers.json")));
   const PortReserve nobody;  // no broker listens there
   text.replace(text.find("127.0.0.1:5672"), 14, "127.0.0.1:" + std::to_string(nobody.port()));
   const std::string file = write("g.toml", text);
@@ -95,7 +95,7 @@
   EXPECT_TRUE(logged("all answered; bye"));
 }
 
-TEST_F(Programs, StackSaysReadyAndLeavesNothingBehind) {
+TEST_F(Programs, StackReportsReadyAndStopsCleanly) {
   Child stack({kBin + "/laureltide-standin", "stack", "--workers", "2"}, dir + "/log");
   std::string line;
   ASSERT_TRUE(stack.read_line(line, 60s)) << log();
@@ -108,8 +108,8 @@
   const std::string report = dir + "/report.json";
   EXPECT_EQ(
       run({"laureltide-play", kExamples + "/smoke-day.toml", "--report", report, "--keep", dir + "/day"}), 0)
-      << slurp(report);
-  const auto doc = nlohmann::json::parse(slurp(report), nullptr, false);
+      << read_file(report);
+  const auto doc = nlohmann::json::parse(read_file(report), nullptr, false);
   ASSERT_TRUE(doc.is_object());
   EXPECT_EQ(doc["kept"], true);
   EXPECT_GT(doc["classes"]["release"]["served"].get<int>(), 0);
@@ -123,8 +123,8 @@
   EXPECT_EQ(run({"laureltide-play", kExamples + "/" + GetParam() + ".toml", "--report", report, "--keep",
                  dir + "/day"}),
             0)
-      << slurp(report) << log();
-  const auto doc = nlohmann::json::parse(slurp(report), nullptr, false);
+      << read_file(report) << log();
+  const auto doc = nlohmann::json::parse(read_file(report), nullptr, false);
   ASSERT_TRUE(doc.is_object());
   EXPECT_GT(doc["classes"]["release"]["served"].get<int>(), 50);
   EXPECT_EQ(run({"laureltide", "ledger", "verify", dir + "/day/ledger-0"}), 0) << log();
@@ -136,11 +136,11 @@
                            return name;
                          });
 
-TEST_F(Programs, AReleaseDayFetchesEachChunkOnceABoxAndMixesNothing) {
+TEST_F(Programs, ReleaseDayFetchesEachChunkOncePerBoxAndMixesNoReleases) {
   const std::string report = dir + "/report.json";
   ASSERT_EQ(run({"laureltide-play", kExamples + "/release-day.toml", "--report", report}), 0)
-      << slurp(report) << log();
-  const auto doc = nlohmann::json::parse(slurp(report), nullptr, false);
+      << read_file(report) << log();
+  const auto doc = nlohmann::json::parse(read_file(report), nullptr, false);
   ASSERT_TRUE(doc.is_object());
   EXPECT_GT(doc["layers"]["runs"].get<int>(), 300);
   EXPECT_GT(doc["layers"]["renewed"].get<int>(), 50);  // calls did move to the new releases
@@ -150,7 +150,7 @@
 }
 
 // Packed, pushed to a store, fetched by a box, damaged and found out.
-TEST_F(Programs, LayersArePackedPushedAndVerified) {
+TEST_F(Programs, PacksPushesAndVerifiesLayers) {
   write("model", std::string(300'000, 'm') + std::string(200'000, 'n'));
   const std::string one = dir + "/one";
   EXPECT_EQ(
@@ -158,7 +158,7 @@
       0)
       << log();
   EXPECT_EQ(run({"laureltide", "layers", "verify", one}), 0) << log();
-  EXPECT_NE(said({"laureltide", "layers", "inspect", one, "--against", one}).find("fetches 0 of"),
+  EXPECT_NE(output({"laureltide", "layers", "inspect", one, "--against", one}).find("fetches 0 of"),
             std::string::npos);
   EXPECT_EQ(
       run({"laureltide", "layers", "pack", one, dir + "/model", "--function", "decoder", "--release", "2"}),
@@ -171,9 +171,9 @@
   std::string line;
   ASSERT_TRUE(store.read_line(line, 20s));
   const std::string at = "127.0.0.1:" + line.substr(10);
-  EXPECT_NE(said({"laureltide", "layers", "push", one, "--store", at}).find("; 3 blobs"), std::string::npos)
+  EXPECT_NE(output({"laureltide", "layers", "push", one, "--store", at}).find("; 3 blobs"), std::string::npos)
       << log();
-  EXPECT_NE(said({"laureltide", "layers", "push", one, "--store", at}).find("; 0 blobs"), std::string::npos)
+  EXPECT_NE(output({"laureltide", "layers", "push", one, "--store", at}).find("; 0 blobs"), std::string::npos)
       << log();
   for (const auto& blob : std::filesystem::directory_iterator(one + "/blobs/sha256"))
     std::ofstream(blob.path(), std::ios::app) << "x";
@@ -181,13 +181,13 @@
   EXPECT_EQ(run({"laureltide", "layers", "push", one, "--store", at}), 1);  // nothing broken is published
 }
 
-TEST_F(Programs, LedgerToolsReadWhatAGatewayLeft) {
+TEST_F(Programs, LedgerToolsReadLedgerOfGateway) {
   const std::string none = dir + "/none";
   EXPECT_EQ(run({"laureltide", "ledger", "list", none}), 1);
   EXPECT_NE(log().find("no readable file 'version'"), std::string::npos) << log();
-  std::string text = slurp(kExamples + "/gateway.toml");
+  std::string text = read_file(kExamples + "/gateway.toml");
   text.replace(text.find("examples/workers.json"), 21,
-               write("workers.json", slurp(kExamples + "/workers.json")));
+               write("workers.json", read_file(kExamples + "/workers.json")));
   const PortReserve nobody;
   text.replace(text.find("127.0.0.1:5672"), 14, "127.0.0.1:" + std::to_string(nobody.port()));
   const std::string file = write("g.toml", text + "\n[ledger]\ndirectory = \"" + dir + "/l\"\n");
@@ -205,7 +205,7 @@
   EXPECT_NE(log().find("version 9, newer than this program's 1"), std::string::npos) << log();
 }
 
-TEST_F(Programs, KeysAreDrawnAndHashed) {
+TEST_F(Programs, GeneratesAndHashesKeys) {
   Child child({kBin + "/laureltide", "key"}, dir + "/log");
   std::string token, hash;
   ASSERT_TRUE(child.read_line(token, 30s) && child.read_line(hash, 30s));
@@ -214,7 +214,7 @@
 }
 
 TEST_F(Programs, PlayTellsABrokenRuleAndABadDayApart) {
-  std::string day = slurp(kExamples + "/smoke-day.toml");
+  std::string day = read_file(kExamples + "/smoke-day.toml");
   // A patience that nothing can meet, and no grace: rule 1 cannot be kept.
   for (std::size_t at; (at = day.find("give_up_ms = 8000")) != std::string::npos;)
     day.replace(at, 17, "target_ms = 1\ngive_up_ms = 1\n");
--- a/tests/node/configuration.h
+++ b/tests/node/configuration.h
@@ -1,4 +1,4 @@
-// A controller's configuration as the platform writes it, for tests.
+// A controller configuration as the platform writes it, for tests.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -1,4 +1,4 @@
-// A whole controller of the platform in virtual time, with stand-ins around it.
+// Configuration, call parsing, and a complete controller in virtual time with stand-ins for the platform.
 #include "node/node.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
 
 // ---- Configuration ------------------------------------------------------------------------------------
 
-TEST(NodeConfig, IsReadByTheSimulatorsParser) {
+TEST(NodeConfig, ParsesSettingsLikeTheSimulator) {
   const Config c = parsed(config());
   EXPECT_EQ(c.settings.module.classes.size(), 3U);
   EXPECT_EQ(c.settings.module.classes[1].semantics, Semantics::kKeyed);
@@ -38,18 +38,21 @@
   EXPECT_EQ(c.settings.tenant_names, (std::vector<std::string>{"harbour", "yard"}));
   EXPECT_EQ(c.settings.gateway.answer_reserve, Duration(5ms));
   EXPECT_EQ(c.seed, 0x8c1f30d27a5be964ULL);
-  ASSERT_EQ(c.load_columns.size(), 3U);  // the last by its meaning, which the flattening writes without spaces
-  EXPECT_EQ(c.load_columns[2], (std::pair<std::string, platform::LoadValue>("x1", platform::LoadValue::kLoads)));
-  EXPECT_NE(std::find(c.unused_settings.begin(), c.unused_settings.end(), "stats.how"), c.unused_settings.end());
+  ASSERT_EQ(c.load_columns.size(),
+            3U);  // x1 is resolved by its description, which flattening writes without spaces
+  EXPECT_EQ(c.load_columns[2],
+            (std::pair<std::string, platform::LoadValue>("x1", platform::LoadValue::kLoads)));
+  EXPECT_NE(std::find(c.unused_settings.begin(), c.unused_settings.end(), "stats.how"),
+            c.unused_settings.end());
 }
 
-TEST(NodeConfig, FlattensAsTheSimulatorWrites) {
+TEST(NodeConfig, FlattensLikeTheSimulator) {
   EXPECT_EQ(flatten(R"({"a":{"b":1.5,"c":"x y,z"},"d":[1,2],"e":[{"f":true},{"f":false}],"g":null})"),
             "a.b=1.5\na.c=x_y_z\nd=1,2\ne.count=2\ne.0.f=true\ne.1.f=false\n");
 }
 
-// A wrong word must not become a default.
-TEST(NodeConfig, AMissingKeyThatDecisionsNeedIsNamed) {
+// A missing or invalid setting must not fall back to a default.
+TEST(NodeConfig, NamesMissingRequiredKey) {
   const json good = config();
   const auto paths = {"/settings/bounds/attempts_cap",
                       "/settings/bounds/dial_timeout_ns",
@@ -84,7 +87,8 @@
   EXPECT_NE(why.find("sometimes"), std::string::npos);
 }
 
-// ---- Fields -------------------------------------------------------------------------------------------
+// ---- Call fields
+// -------------------------------------------------------------------------------------------
 
 front::Fields good_fields() {
   return {
@@ -92,7 +96,7 @@
       {"dedupe", "abc"}, {"row", "00000000000000f1"},  {"work", "8.2"}, {"more", "memory_mb:512;lanes:2"}};
 }
 
-TEST(NodeIntake, ACallBringsItsFunctionsFacts) {
+TEST(NodeIntake, ReadsFunctionAttributesFromCall) {
   const Config c = parsed(config());
   const ParsedCall r = parse_call(good_fields(), "body", c.settings);
   ASSERT_TRUE(r.call) << r.error;
@@ -107,7 +111,7 @@
   EXPECT_EQ(r.call->patience, Duration(800ms));
 }
 
-TEST(NodeIntake, EachFieldThatIsNoneIsNamed) {
+TEST(NodeIntake, NamesInvalidOrMissingField) {
   const Config c = parsed(config());
   const std::pair<const char*, std::vector<std::string>> table[] = {
       {"op", {"", "odd", "read,k=1"}},
@@ -134,11 +138,11 @@
   front::Fields unkeyed = good_fields();
   unkeyed["op"] = "read", unkeyed.erase("dedupe");
   EXPECT_TRUE(parse_call(unkeyed, "", c.settings).call);
-  unkeyed["dedupe"] = "a,w=9";  // it would pass on as another field
+  unkeyed["dedupe"] = "a,w=9";  // would be forwarded as another field
   EXPECT_FALSE(parse_call(unkeyed, "", c.settings).call);
 }
 
-TEST(NodeIntake, PushbackIsSaidWhereSettingsAllow) {
+TEST(NodeIntake, SendsPushbackOnlyWhenSettingsAllow) {
   controller::Answer refused;
   refused.kind = controller::Answer::Kind::kRefused, refused.retry_after = 70500us;
   EXPECT_EQ(to_reply(refused, true, 1s).fields.at("pushback"), "71");
@@ -148,7 +152,8 @@
   EXPECT_TRUE(to_reply(refused, true, 1s).fields.empty());
 }
 
-// ---- A controller -------------------------------------------------------------------------------------
+// ---- Complete controller
+// -------------------------------------------------------------------------------------
 
 struct NodeTest : testing::Test {
   sim::Network net;
@@ -156,7 +161,7 @@
   std::vector<std::unique_ptr<PlatformInvoker>> invokers;
   std::vector<std::string> lines;
   std::unique_ptr<Node> node;
-  std::uint64_t ids = 0x1000;
+  std::uint64_t next_id = 0x1000;
 
   static PlatformMember member(int i, const std::string& phase = "active") {
     return {"s-" + std::to_string(i), invoker_at(i), phase, i % 2, 0};
@@ -180,8 +185,12 @@
   PlatformInvoker& invoker(int i) { return *invokers[static_cast<std::size_t>(i - 1)]; }
 
   front::Fields fields(const std::string& op = "read") {
-    front::Fields f{{"op", op},      {"call", platform::id_text(ids++)}, {"ttl", "900"},
-                    {"org", "yard"}, {"row", "00000000000000f1"},        {"work", "8"}};
+    front::Fields f{{"op", op},
+                    {"call", platform::id_text(next_id++)},
+                    {"ttl", "900"},
+                    {"org", "yard"},
+                    {"row", "00000000000000f1"},
+                    {"work", "8"}};
     if (op == "update") f["dedupe"] = "key-" + f["call"];
     return f;
   }
@@ -194,7 +203,7 @@
     const members::Member* m = number ? node->core().list().find(WorkerId{*number}) : nullptr;
     return m ? std::optional(m->state) : std::nullopt;
   }
-  std::size_t ran(std::uint64_t id) const {
+  std::size_t run_count(std::uint64_t id) const {
     std::size_t n = 0;
     for (const auto& i : invokers)
       for (const auto& seen : i->calls()) n += seen.id == id;
@@ -202,7 +211,7 @@
   }
 };
 
-TEST_F(NodeTest, ReadyAtOnceAndServesAnswersUnchanged) {
+TEST_F(NodeTest, IsReadyAtOnceAndReturnsAnswersUnchanged) {
   PlatformClient client(net, kListen);
   client.health();
   net.run_for(10ms);
@@ -213,7 +222,7 @@
   EXPECT_EQ(client.replies().find(n)->second.body, std::string("answer to any\0bytes", 19));
 }
 
-TEST_F(NodeTest, AManyCallDayEndsEachOnce) {
+TEST_F(NodeTest, AnswersEachCallOnceUnderManyFaults) {
   PlatformClient client(net, kListen);
   std::vector<std::int32_t> numbers;
   for (int i = 0; i < 600; ++i) {
@@ -234,7 +243,7 @@
   EXPECT_EQ(node->open_body_bytes(), 0U);
 }
 
-TEST_F(NodeTest, AnOnceCallThatMayHaveRunIsNotRepeated) {
+TEST_F(NodeTest, DoesNotRepeatOnceCallThatMayHaveRun) {
   PlatformClient client(net, kListen);
   client.call(fields("release"), "warm");
   net.run_for(1s);
@@ -244,10 +253,10 @@
   const auto n = client.call(f, "b");
   net.run_for(2s);
   EXPECT_EQ(kind(client, n), "failed");
-  EXPECT_EQ(ran(id), 1U);
+  EXPECT_EQ(run_count(id), 1U);
 }
 
-TEST_F(NodeTest, AnIdThatIsOpenOrWasJustNowIsNoCall) {
+TEST_F(NodeTest, RejectsIdOfOpenOrRecentCall) {
   PlatformClient client(net, kListen), other(net, kListen);
   front::Fields f = fields();
   const std::uint64_t id = *platform::parse_id(f["call"]);
@@ -267,7 +276,7 @@
       }
 }
 
-TEST_F(NodeTest, NothingOfABadCallReachesAnInvoker) {
+TEST_F(NodeTest, ForwardsNothingOfInvalidCall) {
   PlatformClient client(net, kListen);
   front::Fields f = fields("update");
   f["dedupe"] = "a,k=00000000000000f2";
@@ -277,7 +286,7 @@
   for (const auto& i : invokers) EXPECT_TRUE(i->calls().empty() && i->orders() == 0);
 }
 
-TEST_F(NodeTest, ABadClientDoesNotKeepItsNeighboursWaiting) {
+TEST_F(NodeTest, ServesOthersDespiteMisbehavingClients) {
   PlatformClient good(net, kListen);
   good.call(fields(), "warm");
   net.run_for(1s);
@@ -292,7 +301,7 @@
   EXPECT_LE(node->clients(), 110U);
 }
 
-TEST_F(NodeTest, NothingNewGoesToALeavingInvoker) {
+TEST_F(NodeTest, SendsNothingNewToLeavingInvoker) {
   PlatformClient client(net, kListen);
   for (int i = 0; i < 30; ++i) client.call(fields(), "b"), net.run_for(20ms);
   bus.tell({member(1, "leaving")});
@@ -303,7 +312,7 @@
   EXPECT_EQ(invoker(1).orders(), orders);
 }
 
-TEST_F(NodeTest, DrainingToldWhileTheFeedWasDownCounts) {
+TEST_F(NodeTest, AppliesDrainPublishedWhileDisconnected) {
   PlatformClient client(net, kListen);
   for (int i = 0; i < 30; ++i) client.call(fields(), "b"), net.run_for(20ms);
   bus.stop();
@@ -316,7 +325,7 @@
   EXPECT_EQ(invoker(1).calls().size(), calls);
 }
 
-TEST_F(NodeTest, ANewInvokerAtAGoneOnesAddressIsAnother) {
+TEST_F(NodeTest, GivesNewNumberToInvokerAtReusedAddress) {
   PlatformClient client(net, kListen);
   for (int i = 0; i < 10; ++i) client.call(fields(), "b"), net.run_for(50ms);
   const auto before = *node->roster().number_of("s-1");
@@ -331,7 +340,7 @@
   }
 }
 
-TEST_F(NodeTest, AGapThatTheBusDoesNotFillIsSteppedOver) {
+TEST_F(NodeTest, SkipsGapThatBusCannotFill) {
   bus.set_skip(2);
   bus.tell({member(1, "leaving")}), bus.tell({member(2, "leaving")});
   net.run_for(3s);
@@ -340,9 +349,9 @@
             WorkerState::kDraining);
 }
 
-// The missing one told a drain. It is in the whole history, which is asked for before anything behind it
-// counts.
-TEST_F(NodeTest, AGapIsFilledFromTheWholeHistory) {
+// The missing event reports a drain. The full history has it and is requested before later events are
+// applied.
+TEST_F(NodeTest, FillsGapFromFullHistory) {
   bus.set_skip(2, true);
   bus.tell({member(1, "leaving")}), bus.tell({member(2, "leaving")});
   net.run_for(1s);
@@ -352,7 +361,7 @@
   EXPECT_EQ(state(3), WorkerState::kReady);
 }
 
-TEST_F(NodeTest, AnEventThatCannotBeReadLosesNoneOfTheOthers) {
+TEST_F(NodeTest, AppliesEventsAfterUnreadableOne) {
   bus.tell_as_it_is("{\"topology\":"), bus.tell({member(1, "leaving")});
   net.run_for(1s);
   EXPECT_EQ(node->roster().last(), 3U);
@@ -360,8 +369,8 @@
   EXPECT_EQ(state(2), WorkerState::kReady);
 }
 
-// Spoilt on its way only: asked for again, it is whole.
-TEST_F(NodeTest, AnEventThatWasSpoiltOnItsWayCounts) {
+// The event is corrupted only in transit, so a second request returns it intact.
+TEST_F(NodeTest, RequestsCorruptedEventAgain) {
   bus.tell_as_it_is("noise");
   bus.spoil(2, standin::platform_event(2, false, {member(1, "leaving")}));
   net.run_for(1s);
@@ -370,7 +379,7 @@
   EXPECT_EQ(state(1), WorkerState::kDraining);
 }
 
-TEST_F(NodeTest, AWholeListTakesOutWhomItOmits) {
+TEST_F(NodeTest, FullListRemovesWorkersThatItOmits) {
   PlatformClient client(net, kListen);
   for (int i = 0; i < 30; ++i) client.call(fields(), "b"), net.run_for(20ms);
   bus.tell_whole({member(2), member(3)});
@@ -382,8 +391,8 @@
   EXPECT_EQ(invoker(1).orders(), orders);
 }
 
-// The configuration that came anew is ahead of a watch that says nothing.
-TEST_F(NodeTest, AReloadWithADrainOnlyInKnownCountsAtOnce) {
+// The reloaded configuration has newer events than the bus connection, which is silent.
+TEST_F(NodeTest, ReloadAppliesKnownDrainsAtOnce) {
   net.run_for(100ms);
   bus.set_silent(true);
   bus.tell({member(1, "leaving")}), bus.tell({member(2, "leaving")});
@@ -397,14 +406,14 @@
   EXPECT_FALSE(node->roster().number_of("s-2"));
 }
 
-// What is known has a hole where a drain was told: the rest of it waits for the bus.
-TEST_F(NodeTest, AReloadWithAHoleInKnownStepsOverNothing) {
+// The known events lack one that reports a drain: later ones must wait for the bus.
+TEST_F(NodeTest, ReloadWithGapInKnownEventsSkipsNothing) {
   net.run_for(100ms);
   bus.set_silent(true);
   bus.tell({member(1, "leaving")}), bus.tell({member(2, "leaving")});
-  json holed = json::parse(bus.known());
-  holed["batch"].erase(1);
-  node->reload(config(holed.dump()).dump());
+  json with_gap = json::parse(bus.known());
+  with_gap["batch"].erase(1);
+  node->reload(config(with_gap.dump()).dump());
   EXPECT_EQ(node->roster().last(), 1U);
   bus.set_silent(false);
   net.run_for(3s);
@@ -412,9 +421,10 @@
   EXPECT_EQ(state(1), WorkerState::kDraining);
 }
 
-// ---- What the log tells of an outage ---------------------------------------------------------------------
+// ---- Log lines and lost bus connections
+// ---------------------------------------------------------------------
 
-TEST_F(NodeTest, AnOutageOfDiscoveryIsLoggedWhenItBeginsAndWhenItEnds) {
+TEST_F(NodeTest, LogsBeginAndEndOfDiscoveryOutage) {
   net.run_for(2s);
   const auto said = [&](const char* part) {
     return std::count_if(lines.begin(), lines.end(),
@@ -425,7 +435,7 @@
   net.run_for(20s);
   EXPECT_EQ(said("discovery: no data for"), 1);
   EXPECT_EQ(said("keeping the list as of event 1"), 1);
-  EXPECT_GE(said("discovery_heard_ms_ago=1"), 1);  // 10 s and more
+  EXPECT_GE(said("discovery_heard_ms_ago=1"), 1);  // 10 s or more
   bus.start();
   bus.tell({member(1, "leaving")});
   net.run_for(3s);
@@ -433,7 +443,7 @@
   EXPECT_EQ(said("list: event 2 changes 1 of 3 workers: s-1 (worker 1) ready->draining"), 1);
 }
 
-TEST_F(NodeTest, EndsOfCallsAreCountedByTheirKindAndLoggedWhenAskedFor) {
+TEST_F(NodeTest, CountsCallEndsAndLogsThemOnRequest) {
   node.reset();
   node = std::make_unique<Node>(
       net, parsed(config(bus.known())), [this](Severity, const std::string& line) { lines.push_back(line); },
@@ -451,8 +461,8 @@
   EXPECT_TRUE(said("calls_ended=So:1"));
 }
 
-// A break, and then a watch that is silent from its first byte on.
-TEST_F(NodeTest, ABreakAndAStopAfterOneAnother) {
+// The bus connection breaks within an event, and the next one never sends a byte.
+TEST_F(NodeTest, LearnsOfDrainAfterBreakAndSilentReconnect) {
   net.run_for(2s);
   bus.mute_next(1);
   bus.break_in_event();
@@ -461,8 +471,8 @@
   EXPECT_EQ(state(1), WorkerState::kDraining);
 }
 
-// Refused on reconnecting, for longer than the watch would have been silent.
-TEST_F(NodeTest, ARefusalOnReconnectingIsOutlasted) {
+// The bus refuses connections for longer than the allowed silence.
+TEST_F(NodeTest, KeepsReconnectingWhenBusRefuses) {
   net.run_for(2s);
   bus.stop();
   bus.tell({member(1, "leaving")});
@@ -472,9 +482,9 @@
   EXPECT_EQ(state(1), WorkerState::kDraining);
 }
 
-// Its dial was never answered: nothing of it left, so that to try again is harmless, also where it must not
-// run twice.
-TEST_F(NodeTest, ACallWhoseBytesNeverLeftIsRefusedNotFailed) {
+// The connect was never answered, so no byte was sent and a retry is safe even for a call that must not run
+// twice.
+TEST_F(NodeTest, RefusesCallThatNeverLeft) {
   json doc = config(bus.known());
   doc["settings"]["bounds"]["dial_timeout_ns"] = 5'000'000'000;
   doc["settings"]["family_info"]["miss_mode"] = "load";
@@ -487,7 +497,7 @@
   EXPECT_EQ(kind(client, n), "refused");
 }
 
-TEST_F(NodeTest, ReloadMovesTheBusUnderCallsAndABadFileChangesNothing) {
+TEST_F(NodeTest, ReloadMovesBusUnderLoadAndIgnoresBadFile) {
   PlatformClient client(net, kListen);
   std::vector<std::int32_t> numbers;
   PlatformBus other(net, kBus2);
@@ -512,7 +522,7 @@
   EXPECT_EQ(node->roster().last(), 7U);
 }
 
-TEST_F(NodeTest, AnEndServesWhatStillComesAndAnswersAll) {
+TEST_F(NodeTest, DrainServesLateCallsAndAnswersAll) {
   PlatformClient client(net, kListen);
   std::vector<std::int32_t> numbers;
   numbers.push_back(client.call(fields(), "warm"));
@@ -541,7 +551,7 @@
   EXPECT_TRUE(too_late.closed());
 }
 
-TEST_F(NodeTest, AnEndToldTwiceIsTheFirst) {
+TEST_F(NodeTest, IgnoresSecondDrain) {
   bool first = false, second = false;
   node->drain([&] { first = true; });
   net.run_for(600ms);
@@ -551,18 +561,18 @@
   EXPECT_FALSE(second);
 }
 
-// Ten times the calls, clients, functions and invokers end with tables of the same size.
-TEST_F(NodeTest, TablesDoNotGrowWithTime) {
+// Ten times as many calls, clients, functions and invokers must leave tables of the same size.
+TEST_F(NodeTest, TableSizesDoNotGrowWithTime) {
   const auto play = [&](int rounds) {
     for (int r = 0; r < rounds; ++r) {
       PlatformClient client(net, kListen);
       for (int i = 0; i < 20; ++i) {
         front::Fields f = fields(i % 2 ? "read" : "update");
-        f["row"] = platform::id_text(ids * 7);
+        f["row"] = platform::id_text(next_id * 7);
         client.call(f, "b");
       }
       net.run_for(100ms);
-      const std::string name = "t-" + std::to_string(ids);
+      const std::string name = "t-" + std::to_string(next_id);
       bus.tell({{name, invoker_at(1), "active", 0, 0}});
       net.run_for(50ms);
       bus.tell({{name, invoker_at(1), "left", 0, 0}});
@@ -572,14 +582,19 @@
     const auto s = node->core().sizes();
     EXPECT_EQ(s.open, 0U);
     EXPECT_EQ(s.orders, 0U);
-    return std::array<std::size_t, 7>{
-        s.names, s.ports, s.members, s.alarms, node->id_count(), node->roster().names(), node->open_body_bytes()};
+    return std::array<std::size_t, 7>{s.names,
+                                      s.ports,
+                                      s.members,
+                                      s.alarms,
+                                      node->id_count(),
+                                      node->roster().names(),
+                                      node->open_body_bytes()};
   };
   const auto few = play(5), many = play(50);
   EXPECT_EQ(few, many);
 }
 
-TEST_F(NodeTest, NamesOfFunctionsAreBoundedWithinAMomentToo) {
+TEST_F(NodeTest, BoundsFunctionNamesUnderBurst) {
   controller::Core::Options options;
   options.most_names = 100;
   struct Events : controller::CoreEvents {
@@ -600,10 +615,10 @@
   net.run_for(5s);
 }
 
-TEST_F(NodeTest, CallsPastTheMemoryAreRefusedAtOnce) {
+TEST_F(NodeTest, RefusesCallsBeyondMemoryLimit) {
   node.reset();
   json doc = config(bus.known());
-  doc["limits"]["memory_mb"] = 1;  // a quarter holds 16 bodies of 16 KiB
+  doc["limits"]["memory_mb"] = 1;  // a quarter of it holds 16 bodies of 16 KiB
   start(doc);
   for (auto& i : invokers) i->spoil_next(Spoil::kSilent, 100);
   PlatformClient client(net, kListen);
--- a/tests/node/outage_test.cpp
+++ b/tests/node/outage_test.cpp
@@ -1,5 +1,6 @@
-// A whole controller in virtual time while discovery is out of reach, and what crosses such an outage. The
-// drain rule is judged from what the stand-in workers saw, with the protocol's times and its slack of 50 ms.
+// A complete controller in virtual time while discovery is unreachable. The drain rule (nothing new reaches a
+// worker once its drain counts as reported and the grace has passed) is judged from what the stand-in workers
+// received, with the protocol's time limits and its slack of 50 ms.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -23,42 +24,42 @@
 
 constexpr int kWorkers = 6;
 constexpr Duration kGrace = 1s, kSlack = 50ms;
-constexpr Duration kToldAfterBreak = 2s, kToldAfterSilence = 4s;
+constexpr Duration kNotifiedAfterBreak = 2s, kNotifiedAfterSilence = 4s;
 const io::Address kOtherBus{"127.0.0.1", 4223};
 
-enum class Form { kSilent, kDripping, kRefused, kCutOff };
+enum class OutageKind { kSilent, kDripping, kRefused, kCutOff };
 
-const char* text_of(Form form) {
+const char* text_of(OutageKind form) {
   switch (form) {
-    case Form::kSilent: return "Silent";
-    case Form::kDripping: return "Dripping";
-    case Form::kRefused: return "Refused";
-    case Form::kCutOff: return "CutOff";
+    case OutageKind::kSilent: return "Silent";
+    case OutageKind::kDripping: return "Dripping";
+    case OutageKind::kRefused: return "Refused";
+    case OutageKind::kCutOff: return "CutOff";
   }
   return "Unknown";
 }
-void PrintTo(Form form, std::ostream* out) { *out << text_of(form); }
+void PrintTo(OutageKind form, std::ostream* out) { *out << text_of(form); }
 
 struct Outage : testing::Test {
   sim::NetworkOptions network_options(std::uint64_t seed) {
     sim::NetworkOptions options;
     options.seed = seed;
-    options.most_piece = 300;  // events come in pieces
+    options.most_piece = 300;  // splits events
     return options;
   }
   sim::Network net{network_options(1)};
   PlatformBus bus{net, kBus};
   std::vector<std::unique_ptr<PlatformInvoker>> workers;
-  std::vector<Time> told_at = std::vector<Time>(kWorkers, Time::max());
+  std::vector<Time> notified_at = std::vector<Time>(kWorkers, Time::max());
   std::vector<std::string> lines;
   json doc;
   std::unique_ptr<Node> node;
   std::unique_ptr<PlatformClient> client;
   std::uint64_t next_id = 0x1000;
   std::size_t sent = 0;
-  std::vector<std::pair<const PlatformClient*, std::int32_t>> numbers;
+  std::vector<std::pair<const PlatformClient*, std::int32_t>> sent_calls;
   Time began{};
-  Duration told_after{};
+  Duration notified_after{};
 
   static io::Address address(int worker) { return {"127.0.0.1", static_cast<std::uint16_t>(7000 + worker)}; }
   static std::string name(int worker) { return "s-" + std::to_string(worker); }
@@ -91,60 +92,60 @@
                                               {"row", platform::id_text(function)},
                                               {"work", "8"}},
                                              "b");
-    numbers.emplace_back(client.get(), number);
+    sent_calls.emplace_back(client.get(), number);
   }
   void traffic(Duration span, Duration gap = 40ms) {
     for (const Time end = net.now() + span; net.now() < end; net.run_for(gap)) call();
   }
-  void begin(Form form) {
+  void begin(OutageKind form) {
     began = net.now();
-    told_after = form == Form::kRefused ? kToldAfterBreak : kToldAfterSilence;
+    notified_after = form == OutageKind::kRefused ? kNotifiedAfterBreak : kNotifiedAfterSilence;
     switch (form) {
-      case Form::kSilent: return bus.set_outage(PlatformBus::Outage::kSilent);
-      case Form::kDripping: return bus.set_outage(PlatformBus::Outage::kDripping);
-      case Form::kRefused: return bus.stop();
-      case Form::kCutOff: return net.set_silent(kBus, true);
+      case OutageKind::kSilent: return bus.set_outage(PlatformBus::Outage::kSilent);
+      case OutageKind::kDripping: return bus.set_outage(PlatformBus::Outage::kDripping);
+      case OutageKind::kRefused: return bus.stop();
+      case OutageKind::kCutOff: return net.set_silent(kBus, true);
     }
   }
-  void end(Form form) {
+  void end(OutageKind form) {
     switch (form) {
-      case Form::kSilent:
-      case Form::kDripping: return bus.set_outage(PlatformBus::Outage::kNone);
-      case Form::kRefused: ASSERT_TRUE(bus.start()); return;
-      case Form::kCutOff: return net.set_silent(kBus, false);
+      case OutageKind::kSilent:
+      case OutageKind::kDripping: return bus.set_outage(PlatformBus::Outage::kNone);
+      case OutageKind::kRefused: ASSERT_TRUE(bus.start()); return;
+      case OutageKind::kCutOff: return net.set_silent(kBus, false);
     }
   }
   void drain(int worker) {
     at(worker).set_draining(true);
-    told_at[static_cast<std::size_t>(worker)] = std::max(net.now(), began + told_after);
+    notified_at[static_cast<std::size_t>(worker)] = std::max(net.now(), began + notified_after);
     bus.tell({{name(worker), address(worker), "leaving", worker % 2, 0}});
   }
-  // Calls and orders to load past the told time and the grace.
+  // Calls and orders that arrived after the notification time plus the grace.
   std::size_t late_sends() const {
     std::size_t late = 0;
     for (std::size_t i = 0; i < workers.size(); ++i)
       for (const PlatformInvoker::SentWhileDraining& seen : workers[i]->sent_while_draining())
-        late += told_at[i] != Time::max() && seen.at > told_at[i] + kGrace + kSlack;
+        late += notified_at[i] != Time::max() && seen.at > notified_at[i] + kGrace + kSlack;
     return late;
   }
   double served() const {
     std::size_t n = 0;
-    for (const auto& [from, number] : numbers) {
+    for (const auto& [from, number] : sent_calls) {
       EXPECT_EQ(from->replies().count(number), 1U) << number;
       const auto reply = from->replies().find(number);
       n += reply != from->replies().end() && reply->second.kind == "served";
     }
-    return static_cast<double>(n) / static_cast<double>(numbers.size());
+    return static_cast<double>(n) / static_cast<double>(sent_calls.size());
   }
-  bool said(const std::string& part) const {
+  bool logged(const std::string& part) const {
     return std::any_of(lines.begin(), lines.end(),
                        [&](const std::string& line) { return line.find(part) != std::string::npos; });
   }
 };
 
-struct Drains : Outage, testing::WithParamInterface<Form> {};
+struct OutageKinds : Outage, testing::WithParamInterface<OutageKind> {};
 
-TEST_P(Drains, AreKeptThroughAnOutageAndTheServiceGoesOn) {
+TEST_P(OutageKinds, KeepsDrainRuleAndServesDuringOutage) {
   start();
   traffic(5s);
   begin(GetParam());
@@ -160,18 +161,18 @@
   net.run_for(2s);
   EXPECT_EQ(late_sends(), 0U);
   EXPECT_GE(served(), 0.97);
-  EXPECT_TRUE(said("leases: the list may be stale, each worker now needs a lease of its own"));
-  EXPECT_LT(node->core().counters().probes, sent);  // questions are fewer than calls
+  EXPECT_TRUE(logged("leases: the list may be stale, each worker now needs a lease of its own"));
+  EXPECT_LT(node->core().counters().probes, sent);  // far from one probe per call
   end(GetParam());
   traffic(3s);
   net.run_for(2s);
   EXPECT_EQ(late_sends(), 0U);
-  EXPECT_TRUE(said("leases: the list is current again"));
+  EXPECT_TRUE(logged("leases: the list is current again"));
   EXPECT_EQ(node->roster().last(), 5U);
 }
 
-// Few calls, each a while after the one before: no traffic renews a lease.
-TEST_P(Drains, AreKeptWithLittleTraffic) {
+// Calls are too rare to renew leases.
+TEST_P(OutageKinds, KeepsDrainRuleWithLittleTraffic) {
   start();
   traffic(10s, 700ms);
   begin(GetParam());
@@ -185,8 +186,8 @@
   EXPECT_GE(served(), 0.97);
 }
 
-// With nothing but what its configuration says is known. What comes after the start is not in that.
-TEST_P(Drains, AreKeptByAControllerThatStartsWithinAnOutage) {
+// The controller knows only the events in its configuration, which lack those published after the start.
+TEST_P(OutageKinds, KeepsDrainRuleWhenStartedDuringOutage) {
   began = net.now();
   begin(GetParam());
   net.run_for(10s);
@@ -203,8 +204,8 @@
   EXPECT_GE(served(), 0.97);
 }
 
-// Both the old and the new bus are out of reach. The new one's numbers go on.
-TEST_P(Drains, AreKeptWhenAReloadMovesDiscoveryWithinAnOutage) {
+// Both the old and the new bus are unreachable. The new bus continues the event numbers.
+TEST_P(OutageKinds, KeepsDrainRuleWhenReloadMovesBusDuringOutage) {
   start();
   traffic(3s);
   begin(GetParam());
@@ -227,7 +228,7 @@
   EXPECT_GE(served(), 0.97);
 }
 
-TEST_P(Drains, AreKeptWhileTheControllerEndsWithinAnOutage) {
+TEST_P(OutageKinds, KeepsDrainRuleWhileDrainingDuringOutage) {
   start();
   traffic(3s);
   begin(GetParam());
@@ -243,40 +244,42 @@
   EXPECT_GE(served(), 0.97);
 }
 
-INSTANTIATE_TEST_SUITE_P(Forms, Drains,
-                         testing::Values(Form::kSilent, Form::kDripping, Form::kRefused, Form::kCutOff),
+INSTANTIATE_TEST_SUITE_P(Outages, OutageKinds,
+                         testing::Values(OutageKind::kSilent, OutageKind::kDripping, OutageKind::kRefused,
+                                         OutageKind::kCutOff),
                          [](const auto& info) { return std::string(text_of(info.param)); });
 
-// Discovery comes back with all changes at once, in pieces: a call that waits is not sent between two of them
-// to a worker that the next one says is leaving.
-TEST_F(Outage, ManyChangesThatComeAtOnceCountBeforeAnythingWaitingIsSent) {
+// Discovery returns and sends all pending changes, in several reads. A waiting call must not be sent between
+// two of them to a worker that the next one reports as leaving.
+TEST_F(Outage, AppliesAllPendingChangesBeforeSendingWaitingCalls) {
   start();
   traffic(3s);
-  begin(Form::kRefused);
+  begin(OutageKind::kRefused);
   traffic(3s);
   for (int i = 0; i < kWorkers - 1; ++i) {
     at(i).set_draining(true);
-    told_at[static_cast<std::size_t>(i)] = net.now();
+    notified_at[static_cast<std::size_t>(i)] = net.now();
     for (int twice = 0; twice < 20; ++twice) bus.tell({{name(5), address(5), "active", 1, 0}});
     bus.tell({{name(i), address(i), "leaving", i % 2, 0}});
   }
   net.run_for(1500ms);
-  end(Form::kRefused);
+  end(OutageKind::kRefused);
   traffic(3s, 5ms);
   net.run_for(2s);
   EXPECT_EQ(node->roster().last(), bus.tell({}) - 1);
   EXPECT_EQ(late_sends(), 0U);
 }
 
-// Events cannot be had that are known to be missing: the list held lacks them, whatever the bus comments.
-TEST_F(Outage, AReplayThatIsNotWholeIsNotCurrent) {
+// Events are known to be missing and the bus cannot supply them: comments of the bus must not make the list
+// current.
+TEST_F(Outage, IncompleteReplayIsNotCurrent) {
   start();
   traffic(2s);
   const auto current = [&] { return node->core().module().list_holds(net.now()); };
   EXPECT_TRUE(current());
   bus.tell_as_it_is("noise");
   ASSERT_TRUE(net.run_until([&] { return node->roster().rebuilding(); }));
-  PlatformBus other(net, kOtherBus);  // holds the first event only
+  PlatformBus other(net, kOtherBus);  // has only the first event
   ASSERT_TRUE(other.start());
   other.tell({});
   json moved = doc;
@@ -291,37 +294,38 @@
   EXPECT_TRUE(current());
 }
 
-// It drains, ends, and is back under its name and address before discovery is: nobody tells that it is cold.
-TEST_F(Outage, AWorkerThatRestartsWithinAnOutageIsNotPushedOver) {
+// A worker drains, stops and returns under its name and address before discovery does, so nothing reports
+// that it is cold.
+TEST_F(Outage, DoesNotOverloadWorkerThatRestartsDuringOutage) {
   doc["settings"]["rules"]["cold_ns"] = Duration(20s).count();
   start();
   traffic(5s, 5ms);
-  const auto calls_in = [&](Duration span) {
+  const auto calls_during = [&](Duration span) {
     const std::size_t before = at(0).calls().size();
     traffic(span, 5ms);
     return at(0).calls().size() - before;
   };
-  const std::size_t warm = calls_in(1s);
+  const std::size_t warm = calls_during(1s);
   ASSERT_GT(warm, 10U);
-  begin(Form::kSilent);
+  begin(OutageKind::kSilent);
   traffic(1s, 5ms);
   drain(0);
   traffic(5s, 5ms);
   at(0).stop();
   traffic(3s, 5ms);
-  told_at[0] = Time::max();
+  notified_at[0] = Time::max();
   at(0).set_draining(false);
   ASSERT_TRUE(at(0).start());
-  for (int i = 0; i < 5; ++i) EXPECT_LT(calls_in(1s), warm * 7 / 10);
+  for (int i = 0; i < 5; ++i) EXPECT_LT(calls_during(1s), warm * 7 / 10);
   net.run_for(2s);
   EXPECT_GE(served(), 0.95);
 }
 
-// A worker that is gone, and refuses connections, costs no call.
-TEST_F(Outage, AWorkerThatIsGoneWithinAnOutageCostsNoCall) {
+// Workers that are gone refuse connections; calls go elsewhere.
+TEST_F(Outage, LosesNoCallToWorkersGoneDuringOutage) {
   start();
   traffic(3s);
-  begin(Form::kSilent);
+  begin(OutageKind::kSilent);
   traffic(4s);
   at(0).stop(), at(1).stop();
   traffic(10s);
@@ -329,12 +333,12 @@
   EXPECT_GE(served(), 0.97);
 }
 
-// Nobody may be asked: what traffic renews is served, the drain rule is kept, and nothing is probed.
-TEST_F(Outage, WithoutProbesTheRuleIsKeptAndTrafficGoesOn) {
+// Probes are not allowed, so only traffic renews leases.
+TEST_F(Outage, KeepsDrainRuleAndServesWithoutProbes) {
   doc["settings"]["bounds"]["probes"] = false;
   start();
   traffic(5s, 20ms);
-  begin(Form::kRefused);
+  begin(OutageKind::kRefused);
   traffic(500ms, 20ms);
   drain(0);
   traffic(5s, 20ms);
@@ -346,13 +350,13 @@
   EXPECT_GE(served(), 0.9);
 }
 
-TEST_F(Outage, WithoutOrdersTheRuleIsKeptAndTheServiceGoesOn) {
+TEST_F(Outage, KeepsDrainRuleAndServesWithoutOrders) {
   doc["settings"]["family_info"]["orders"] = false;
   doc["settings"]["family_info"]["miss_mode"] = "load";
   for (auto& worker : workers) worker->answer_all(97);
   start();
   traffic(5s);
-  begin(Form::kSilent);
+  begin(OutageKind::kSilent);
   traffic(500ms);
   drain(0);
   traffic(8s);
@@ -363,12 +367,12 @@
   EXPECT_GE(served(), 0.97);
 }
 
-// Outages one after another, each shorter than the page's times or longer, with a jump of the wall clock.
-TEST_F(Outage, OutagesInARowWithAWallClockThatJumps) {
+// Consecutive outages, some shorter and some longer than the protocol's limits, with jumps of the wall clock.
+TEST_F(Outage, KeepsDrainRuleThroughRepeatedOutagesAndWallClockJumps) {
   start();
   traffic(3s);
   for (int round = 0; round < 8; ++round) {
-    const auto form = static_cast<Form>(round % 4);
+    const auto form = static_cast<OutageKind>(round % 4);
     begin(form);
     net.wall_shift_ms += round % 2 == 0 ? 3'600'000 : -7'200'000;
     traffic(round % 2 == 0 ? 1s : 7s);
--- a/tests/node/crossings_test.cpp
+++ b/tests/node/race_test.cpp
@@ -1,5 +1,6 @@
-// Events that cross, on real sockets: each crossing is forced, not hoped for. Peers are raw sockets that do
-// nothing by themselves, and steps of the loop are held where the order matters. docs/node.md has the table.
+// Races between clients, invokers, the event bus and shutdown, on real sockets. Each race is forced: peers
+// are raw sockets that act only when the test says so, and loop steps are delayed where the order matters.
+// docs/node.md lists the races.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -24,8 +25,8 @@
 using standin::PlatformInvoker;
 using standin::PlatformMember;
 
-// Kinds of the whole answers in `bytes`: "Answer", "Backoff", "Lost" as the field of the result names them.
-std::vector<std::string> answers(std::string_view bytes) {
+// Kinds of the complete replies in `bytes`, from the result field that is set: Answer, Backoff or Lost.
+std::vector<std::string> reply_kinds(std::string_view bytes) {
   std::vector<std::string> all;
   while (bytes.size() >= 4) {
     Reader in(bytes);
@@ -48,9 +49,9 @@
 
 using Kinds = std::vector<std::string>;
 
-// ---- The front ----------------------------------------------------------------------------------------
+// ---- Client server ----------------------------------------------------------------------------------------
 
-struct FrontOnSockets : testing::Test, front::Server::Events {
+struct ServerOnSockets : testing::Test, front::Server::Events {
   net::Loop loop;
   front::ServerOptions options = [] {
     front::ServerOptions o;
@@ -74,46 +75,47 @@
   }
 };
 
-// A request on a connection that the machine has accepted and the program has not.
-TEST_F(FrontOnSockets, ARequestBehindAnAcceptIsTakenBeforeTheListenerCloses) {
+// A request on a connection that the kernel has accepted but the program has not.
+TEST_F(ServerOnSockets, ReadsRequestOfUnacceptedConnectionBeforeListenerCloses) {
   RawSocket client(server.address());
   client.write(PlatformClient::call_bytes(1, {{"n", "1"}}, ""));
   server.stop_listening();
   ASSERT_TRUE(run_until([&] { return calls.size() == 1; }));
   serve(0);
   ASSERT_TRUE(run_until([&] { return !client.read().empty(); }));
-  EXPECT_EQ(answers(client.read()), Kinds{"served"});
+  EXPECT_EQ(reply_kinds(client.read()), Kinds{"served"});
 }
 
-// The client has not read its answer, and something of it crosses our end: a reset would destroy the answer.
-TEST_F(FrontOnSockets, TheLastAnswerSurvivesBytesThatCrossTheEnd) {
+// The client sends a request while the server closes the connection, before it has read its answer. A reset
+// would destroy the answer.
+TEST_F(ServerOnSockets, DeliversLastAnswerWhenRequestArrivesDuringClose) {
   RawSocket client(server.address());
   client.write(PlatformClient::call_bytes(1, {{"n", "1"}}, ""));
   ASSERT_TRUE(run_until([&] { return calls.size() == 1; }));
   serve(0);
-  client.write(PlatformClient::call_bytes(2, {{"n", "2"}}, ""));  // the loop has not seen it
+  client.write(PlatformClient::call_bytes(2, {{"n", "2"}}, ""));  // not yet read by the loop
   server.finish_idle();
   ASSERT_TRUE(run_until([&] { return client.read(), client.ended() || client.error(); }));
   EXPECT_EQ(client.error(), 0);
-  EXPECT_EQ(answers(client.read()), Kinds{"served"});
+  EXPECT_EQ(reply_kinds(client.read()), Kinds{"served"});
   EXPECT_EQ(calls.size(), 1U);
 }
 
-TEST_F(FrontOnSockets, TheOneThatMakesRoomReadsItsAnswerToo) {
+TEST_F(ServerOnSockets, DeliversAnswerToConnectionEvictedForAnother) {
   RawSocket client(server.address());
   client.write(PlatformClient::call_bytes(1, {{"n", "1"}}, ""));
   ASSERT_TRUE(run_until([&] { return calls.size() == 1; }));
   serve(0);
   client.write(PlatformClient::call_bytes(2, {{"n", "2"}}, ""));
   RawSocket another(server.address());
-  server.stop_listening();  // takes it in before the loop can see the second request
+  server.stop_listening();  // accepts it before the loop can read the second request
   EXPECT_EQ(server.connections(), 1U);
   ASSERT_TRUE(run_until([&] { return client.read(), client.ended() || client.error(); }));
   EXPECT_EQ(client.error(), 0);
-  EXPECT_EQ(answers(client.read()), Kinds{"served"});
+  EXPECT_EQ(reply_kinds(client.read()), Kinds{"served"});
 }
 
-TEST_F(FrontOnSockets, UnsentAnswersAreCounted) {
+TEST_F(ServerOnSockets, CountsAndFlushesUnsentAnswers) {
   RawSocket client(server.address(), 4096);
   std::int32_t number = 1;
   const std::string body(16 << 10, 'x');
@@ -122,14 +124,14 @@
     ASSERT_TRUE(run_until([&] { return calls.size() == static_cast<std::size_t>(number - 1); }));
     serve(calls.size() - 1, body);
   }
-  server.finish_idle();  // what is unsent goes out all the same
+  server.finish_idle();  // still flushes unsent answers
   ASSERT_TRUE(run_until([&] { return client.read(), client.ended() || client.error(); }));
   EXPECT_EQ(client.error(), 0);
-  EXPECT_EQ(answers(client.read()).size(), calls.size());
+  EXPECT_EQ(reply_kinds(client.read()).size(), calls.size());
 }
 
-// Half a connection closed is a client gone: what came before is taken, then told gone.
-TEST_F(FrontOnSockets, AClientThatClosesHalfHasGone) {
+// A client that half-closes its connection is gone: requests sent before that are accepted, then cancelled.
+TEST_F(ServerOnSockets, TreatsHalfCloseAsClientGone) {
   RawSocket client(server.address());
   client.write(PlatformClient::call_bytes(1, {{"n", "1"}}, "") +
                PlatformClient::call_bytes(2, {{"n", "2"}}, ""));
@@ -137,38 +139,38 @@
   ASSERT_TRUE(run_until([&] { return gone == 2; }));
   EXPECT_EQ(calls.size(), 2U);
   EXPECT_EQ(server.connections(), 0U);
-  serve(0);  // does nothing
+  serve(0);  // has no effect
   ASSERT_TRUE(run_until([&] { return client.read(), client.ended() || client.error(); }));
-  EXPECT_TRUE(answers(client.read()).empty());
+  EXPECT_TRUE(reply_kinds(client.read()).empty());
 }
 
-TEST_F(FrontOnSockets, ARequestAByteAtATime) {
+TEST_F(ServerOnSockets, ParsesRequestsReadOneByteAtATime) {
   RawSocket client(server.address());
-  const std::string two =
+  const std::string requests =
       PlatformClient::call_bytes(1, {{"n", "1"}}, "body") + PlatformClient::call_bytes(2, {{"n", "2"}}, "");
-  for (const char c : two) {
+  for (const char c : requests) {
     client.write({&c, 1});
     loop.post([&] { loop.stop(); });
     loop.run();
   }
   ASSERT_TRUE(run_until([&] { return calls.size() == 2; }));
   serve(1), serve(0);
-  ASSERT_TRUE(run_until([&] { return answers(client.read()).size() == 2; }));
+  ASSERT_TRUE(run_until([&] { return reply_kinds(client.read()).size() == 2; }));
 }
 
-// ---- The whole controller -----------------------------------------------------------------------------
+// ---- Complete controller -----------------------------------------------------------------------------
 
-struct Crossing : testing::Test {
+struct RaceTest : testing::Test {
   net::Loop loop;
   PlatformBus bus{loop, {"127.0.0.1", 0}};
   std::vector<std::unique_ptr<PlatformInvoker>> invokers;
   std::unique_ptr<Node> node;
   std::vector<std::string> lines;
   json doc = tests::config();
-  std::uint64_t ids = 0x1000;
-  bool ended = false;
+  std::uint64_t next_id = 0x1000;
+  bool drained = false;
 
-  Crossing() {
+  RaceTest() {
     bus.start();
     doc["listen"] = "127.0.0.1:0";
     doc["bus"] = bus.address().text();
@@ -197,12 +199,16 @@
   }
   void run_for(Duration span) { ::laureltide::tests::run_for(loop, span); }
   std::string call(std::int32_t number, const std::string& op = "read", const std::string& body = "b") {
-    std::map<std::string, std::string> f{{"op", op},      {"call", platform::id_text(ids++)}, {"ttl", "2900"},
-                                         {"org", "yard"}, {"row", "00000000000000f1"},        {"work", "8"}};
+    std::map<std::string, std::string> f{{"op", op},
+                                         {"call", platform::id_text(next_id++)},
+                                         {"ttl", "2900"},
+                                         {"org", "yard"},
+                                         {"row", "00000000000000f1"},
+                                         {"work", "8"}};
     if (op == "update") f["dedupe"] = "key-" + f["call"];
     return PlatformClient::call_bytes(number, f, body);
   }
-  // Codes of the whole frames that a raw invoker has read.
+  // Codes of the complete frames that a raw invoker has read.
   static std::vector<int> frames(std::string_view bytes) {
     std::vector<int> codes;
     while (bytes.size() >= platform::kHeadBytes) {
@@ -219,26 +225,28 @@
   }
   void warm(RawSocket& client, std::int32_t number = 1) {
     client.write(call(number));
-    ASSERT_TRUE(run_until([&] { return answers(client.read()).size() == static_cast<std::size_t>(number); }));
-    ASSERT_EQ(answers(client.read()).back(), "served");
+    ASSERT_TRUE(
+        run_until([&] { return reply_kinds(client.read()).size() == static_cast<std::size_t>(number); }));
+    ASSERT_EQ(reply_kinds(client.read()).back(), "served");
   }
   void drain() {
-    node->drain([this] { ended = true; });
+    node->drain([this] { drained = true; });
   }
 };
 
 // ---- SIGTERM ------------------------------------------------------------------------------------------
 
-// In the very step in which the listener closes: the machine has accepted, the program has not.
-TEST_F(Crossing, TermAConnectionAcceptedByTheMachineOnlyIsServed) {
+// The kernel accepts a connection in the same loop step in which the listener closes.
+TEST_F(RaceTest, DrainServesConnectionNotYetAccepted) {
   bus.tell({member("s-1", invoker().address())});
   start();
   RawSocket before(node->address());
   warm(before);
   RawSocket late;
   const io::Address at = node->address();
-  // A step that lasts past the end of the time; the connection comes in the next, ahead of the end's look.
-  const auto held = loop.timer([&, began = loop.now()] {
+  // A loop step that runs past the accept period. The connection arrives in the next step, before the drain
+  // check.
+  const auto blocking_step = loop.timer([&, began = loop.now()] {
     while (loop.now() - began < 720ms) {
     }
   });
@@ -246,14 +254,14 @@
     late = RawSocket(at);
     late.write(call(1));
   });
-  held->start(600ms), connects->start(699ms);
+  blocking_step->start(600ms), connects->start(699ms);
   drain();
-  ASSERT_TRUE(run_until([&] { return ended; }));
-  EXPECT_EQ(answers(late.read()), Kinds{"served"});
+  ASSERT_TRUE(run_until([&] { return drained; }));
+  EXPECT_EQ(reply_kinds(late.read()), Kinds{"served"});
   EXPECT_EQ(late.error(), 0);
 }
 
-TEST_F(Crossing, TermARequestHalfReadIsServedWhenItsRestComes) {
+TEST_F(RaceTest, DrainServesHalfReadRequestWhenRestArrives) {
   bus.tell({member("s-1", invoker().address())});
   start();
   RawSocket client(node->address());
@@ -264,12 +272,12 @@
   drain();
   run_for(400ms);
   client.write(whole.substr(whole.size() / 2));
-  ASSERT_TRUE(run_until([&] { return ended; }));
-  EXPECT_EQ(answers(client.read()), (Kinds{"served", "served"}));
+  ASSERT_TRUE(run_until([&] { return drained; }));
+  EXPECT_EQ(reply_kinds(client.read()), (Kinds{"served", "served"}));
   EXPECT_EQ(client.error(), 0);
 }
 
-TEST_F(Crossing, TermWaitsForAnswersThatAreNotFlushed) {
+TEST_F(RaceTest, DrainWaitsForUnsentAnswers) {
   bus.tell({member("s-1", invoker().address())});
   start();
   RawSocket client(node->address(), 4096);
@@ -283,37 +291,38 @@
   }
   drain();
   run_for(1500ms);
-  EXPECT_FALSE(ended);
-  ASSERT_TRUE(run_until([&] { return client.read(), ended; }));
+  EXPECT_FALSE(drained);
+  ASSERT_TRUE(run_until([&] { return client.read(), drained; }));
   client.read();
   EXPECT_EQ(client.error(), 0);
-  EXPECT_EQ(answers(client.read()).size(), static_cast<std::size_t>(number));
+  EXPECT_EQ(reply_kinds(client.read()).size(), static_cast<std::size_t>(number));
 }
 
-TEST_F(Crossing, TermACallWhoseNextAttemptIsYetToComeIsAnswered) {
-  PlatformInvoker& one = invoker();
-  bus.tell({member("s-1", one.address())});
+TEST_F(RaceTest, DrainAnswersCallWaitingForItsNextAttempt) {
+  PlatformInvoker& first = invoker();
+  bus.tell({member("s-1", first.address())});
   start();
   RawSocket client(node->address());
   warm(client);
-  one.answer_all(100);  // full: it is tried again a little later, and again
+  first.answer_all(100);  // full: the call is retried repeatedly
   client.write(call(2));
   ASSERT_TRUE(
       run_until([&] { return node->core().counters().ended[static_cast<std::size_t>(Outcome::kFull)] > 0; }));
   drain();
-  drain();  // told twice
-  ASSERT_TRUE(run_until([&] { return ended; }));
-  EXPECT_EQ(answers(client.read()).size(), 2U);
+  drain();  // a second SIGTERM
+  ASSERT_TRUE(run_until([&] { return drained; }));
+  EXPECT_EQ(reply_kinds(client.read()).size(), 2U);
   EXPECT_EQ(client.error(), 0);
 }
 
-// SIGHUP at once before and after SIGTERM: the watch moves under an end, and the end comes as it would.
-TEST_F(Crossing, TermAndAMovedWatch) {
-  PlatformInvoker &one = invoker(), &two = invoker();
+// SIGHUP just before and after SIGTERM: the event bus moves while the node drains, which must not stop the
+// drain.
+TEST_F(RaceTest, DrainContinuesWhenReloadMovesEventBus) {
+  PlatformInvoker &first = invoker(), &second = invoker();
   PlatformBus other(loop, {"127.0.0.1", 0});
   other.start();
-  bus.tell({member("s-1", one.address()), member("s-2", two.address())});
-  other.tell({member("s-1", one.address()), member("s-2", two.address())});
+  bus.tell({member("s-1", first.address()), member("s-2", second.address())});
+  other.tell({member("s-1", first.address()), member("s-2", second.address())});
   start();
   RawSocket client(node->address());
   warm(client);
@@ -323,21 +332,21 @@
   drain();
   node->reload(doc.dump());
   node->reload(moved.dump());
-  other.tell({member("s-1", one.address(), "leaving")});
+  other.tell({member("s-1", first.address(), "leaving")});
   ASSERT_TRUE(run_until([&] { return node->roster().last() == 2; }));
   run_for(250ms);  // the grace
-  const std::size_t calls = one.calls().size();
+  const std::size_t calls = first.calls().size();
   client.write(call(2));
-  ASSERT_TRUE(run_until([&] { return ended; }));
-  EXPECT_EQ(one.calls().size(), calls);
-  EXPECT_EQ(answers(client.read()), (Kinds{"served", "served"}));
+  ASSERT_TRUE(run_until([&] { return drained; }));
+  EXPECT_EQ(first.calls().size(), calls);
+  EXPECT_EQ(reply_kinds(client.read()), (Kinds{"served", "served"}));
 }
 
-// ---- Clients that have gone, and drains, while a dial is under way --------------------------------------
+// ---- Departed clients and draining workers during a connect --------------------------------------
 
-// Where settings allow no cancel, nothing but the core itself can spare what waits for a connection.
-struct HeldDial : Crossing {
-  RawListener invoker{true};  // its connection comes up 1 s late, when room() has been called
+// The settings allow no cancel, so only the core can drop a call that waits for a connection.
+struct DelayedConnect : RaceTest {
+  RawListener invoker{true};  // accepts the connection 1 s after room() is called
   RawSocket client;
   void SetUp() override {
     doc["settings"]["bounds"]["may_cancel"] = false;
@@ -349,9 +358,8 @@
     client.write(call(1));
     ASSERT_TRUE(run_until([&] { return node->core().counters().attempts == 1; }));
   }
-  // What a connection that came up late brings, if one comes; nothing comes after a fifth of a second of
-  // silence.
-  std::vector<int> brought() {
+  // The frames on the delayed connection, or none if it never comes up. Waits at most 200 ms for bytes.
+  std::vector<int> frames_received() {
     invoker.room();
     RawSocket late;
     if (!run_until([&] { return late = invoker.take(), late.stands(); }, 3s)) return {};
@@ -360,22 +368,22 @@
   }
 };
 
-TEST_F(HeldDial, ComesUpAndBringsTheCall) { EXPECT_EQ(brought(), std::vector<int>{65}); }
+TEST_F(DelayedConnect, SendsCallOnceConnected) { EXPECT_EQ(frames_received(), std::vector<int>{65}); }
 
-TEST_F(HeldDial, AClientThatClosedIsNotSentFor) {
+TEST_F(DelayedConnect, DoesNotSendCallOfClosedClient) {
   client.close();
   ASSERT_TRUE(run_until([&] { return node->core().counters().abandoned == 1; }));
-  EXPECT_TRUE(brought().empty());
+  EXPECT_TRUE(frames_received().empty());
   EXPECT_EQ(node->core().open(), 0U);
 }
 
-TEST_F(HeldDial, AClientThatResetIsNotSentFor) {
+TEST_F(DelayedConnect, DoesNotSendCallOfResetClient) {
   client.reset();
   ASSERT_TRUE(run_until([&] { return node->core().counters().abandoned == 1; }));
-  EXPECT_TRUE(brought().empty());
+  EXPECT_TRUE(frames_received().empty());
 }
 
-TEST_F(HeldDial, ACancelledCallIsNotSent) {
+TEST_F(DelayedConnect, DoesNotSendCancelledCall) {
   std::string m;
   Writer w(m);
   w.u32(0x80010004U), w.u32(6), w.bytes("cancel"), w.u32(2), w.u8(8), w.u16(1), w.u32(1), w.u8(0);
@@ -384,25 +392,27 @@
   f.u32(static_cast<std::uint32_t>(m.size())), f.bytes(m);
   client.write(framed);
   ASSERT_TRUE(run_until([&] { return node->core().counters().abandoned == 1; }));
-  EXPECT_TRUE(brought().empty());
+  EXPECT_TRUE(frames_received().empty());
 }
 
-// Told between the choice of the invoker and the first byte: past the grace nothing goes there.
-TEST_F(HeldDial, ADrainToldMeanwhileIsKept) {
+// The drain is reported between the choice of the invoker and the first byte: after the grace nothing may be
+// sent there.
+TEST_F(DelayedConnect, DoesNotSendToWorkerThatBeganDraining) {
   bus.tell({member("s-1", invoker.address(), "leaving")});
   ASSERT_TRUE(run_until([&] { return node->roster().last() == 2; }));
-  EXPECT_TRUE(brought().empty());
+  EXPECT_TRUE(frames_received().empty());
 }
 
-TEST_F(HeldDial, AWholeListWithoutItIsKept) {
+TEST_F(DelayedConnect, DoesNotSendToWorkerMissingFromFullList) {
   bus.tell_whole({});
   ASSERT_TRUE(run_until([&] { return node->roster().last() == 2; }));
-  EXPECT_TRUE(brought().empty());
+  EXPECT_TRUE(frames_received().empty());
 }
 
-// ---- Invokers' ends -----------------------------------------------------------------------------------
+// ---- Connections ended by invokers
+// -----------------------------------------------------------------------------------
 
-struct RawInvoker : Crossing {
+struct RawInvoker : RaceTest {
   RawListener invoker;
   RawSocket client, link;
   std::uint64_t id = 0;
@@ -412,7 +422,7 @@
     bus.tell({member("s-1", invoker.address())});
     start();
     client = RawSocket(node->address());
-    id = ids;
+    id = next_id;
     client.write(call(1, "release"));
     ASSERT_TRUE(run_until([&] { return link = invoker.take(), link.stands(); }));
     ASSERT_TRUE(run_until([&] { return frames(link.read()) == std::vector<int>{65}; }));
@@ -424,63 +434,65 @@
   }
 };
 
-TEST_F(RawInvoker, AnAnswerAndAResetInOneReadIsServed) {
+TEST_F(RawInvoker, ServesAnswerFollowedByReset) {
   link.write(ok());
   link.reset();
-  ASSERT_TRUE(run_until([&] { return !answers(client.read()).empty(); }));
-  EXPECT_EQ(answers(client.read()), Kinds{"served"});
+  ASSERT_TRUE(run_until([&] { return !reply_kinds(client.read()).empty(); }));
+  EXPECT_EQ(reply_kinds(client.read()), Kinds{"served"});
 }
 
-TEST_F(RawInvoker, AnAnswerAndAnEndInOneReadIsServed) {
+TEST_F(RawInvoker, ServesAnswerFollowedByClose) {
   link.write(ok());
   link.close();
-  ASSERT_TRUE(run_until([&] { return !answers(client.read()).empty(); }));
-  EXPECT_EQ(answers(client.read()), Kinds{"served"});
+  ASSERT_TRUE(run_until([&] { return !reply_kinds(client.read()).empty(); }));
+  EXPECT_EQ(reply_kinds(client.read()), Kinds{"served"});
 }
 
-TEST_F(RawInvoker, HalfAnAnswerAndAnEndIsFailedOnce) {
+TEST_F(RawInvoker, FailsCallOnceAfterPartialAnswer) {
   link.write(ok().substr(0, 18));
   link.close();
-  ASSERT_TRUE(run_until([&] { return !answers(client.read()).empty(); }));
+  ASSERT_TRUE(run_until([&] { return !reply_kinds(client.read()).empty(); }));
   run_for(50ms);
-  EXPECT_EQ(answers(client.read()), Kinds{"failed"});
+  EXPECT_EQ(reply_kinds(client.read()), Kinds{"failed"});
   for (RawSocket s = invoker.take(); s.stands(); s = invoker.take())
-    for (const int code : frames(s.read())) EXPECT_NE(code, 65);  // it may have run: no other attempt
+    for (const int code : frames(s.read())) EXPECT_NE(code, 65);  // it may have run: no second attempt
 }
 
-TEST_F(RawInvoker, AnAnswerAByteAtATime) {
+TEST_F(RawInvoker, ParsesAnswerReadOneByteAtATime) {
   for (const char c : ok()) {
     link.write({&c, 1});
     loop.post([&] { loop.stop(); });
     loop.run();
   }
-  ASSERT_TRUE(run_until([&] { return !answers(client.read()).empty(); }));
-  EXPECT_EQ(answers(client.read()), Kinds{"served"});
+  ASSERT_TRUE(run_until([&] { return !reply_kinds(client.read()).empty(); }));
+  EXPECT_EQ(reply_kinds(client.read()), Kinds{"served"});
 }
 
-TEST_F(RawInvoker, ASecondAnswerInOneReadOrLaterIsNone) {
+TEST_F(RawInvoker, IgnoresFurtherAnswers) {
   link.write(ok("first") + ok("second"));
-  ASSERT_TRUE(run_until([&] { return !answers(client.read()).empty(); }));
+  ASSERT_TRUE(run_until([&] { return !reply_kinds(client.read()).empty(); }));
   link.write(ok("third"));
   run_for(50ms);
-  EXPECT_EQ(answers(client.read()), Kinds{"served"});
+  EXPECT_EQ(reply_kinds(client.read()), Kinds{"served"});
   EXPECT_NE(client.read().find("first"), std::string::npos);
 }
 
-// The client's time ends while the answer is on its way: one answer, and the late one is nobody's.
-TEST_F(RawInvoker, TheDeadlineCrossesTheAnswer) {
-  ASSERT_TRUE(run_until([&] { return !answers(client.read()).empty(); }));
+// The deadline passes while the answer is on its way: the client gets one reply and the late answer is
+// dropped.
+TEST_F(RawInvoker, IgnoresAnswerAfterDeadline) {
+  ASSERT_TRUE(run_until([&] { return !reply_kinds(client.read()).empty(); }));
   link.write(ok());
   run_for(50ms);
-  EXPECT_EQ(answers(client.read()), Kinds{"failed"});
+  EXPECT_EQ(reply_kinds(client.read()), Kinds{"failed"});
 }
 
-// ---- A link's queue ------------------------------------------------------------------------------------
+// ---- Unsent bytes of a link
+// ------------------------------------------------------------------------------------
 
-// The invoker takes no bytes: the machine holds what it can, the rest waits here and would leave when it
-// reads.
-struct QueuedLink : testing::Test, worker::LinkEvents {
-  static constexpr std::uint64_t kCalls = 400;  // of 16 KiB: more than the machine holds for a connection
+// The invoker does not read: the socket buffers fill, the link holds the rest and would send it once the
+// invoker reads again.
+struct LinkWithUnsentCalls : testing::Test, worker::LinkEvents {
+  static constexpr std::uint64_t kCalls = 400;  // of 16 KiB each: more than the socket buffers hold
   net::Loop loop;
   RawListener invoker;
   RawSocket peer;
@@ -490,18 +502,18 @@
     o.streams = 1000, o.most_own = 1, o.quiet = 60s;
     return o;
   }();
-  std::map<std::uint64_t, std::vector<Outcome>> ends;
+  std::map<std::uint64_t, std::vector<Outcome>> outcomes;
   platform::Link link{loop, WorkerId{1}, invoker.address(), options, budget, *this};
 
-  void on_call_end(WorkerId, std::uint64_t c, CallEnd end) override { ends[c].push_back(end.outcome); }
+  void on_call_end(WorkerId, std::uint64_t c, CallEnd end) override { outcomes[c].push_back(end.outcome); }
   void on_piece(WorkerId, std::uint64_t, std::string) override {}
   void on_hold_end(WorkerId, std::uint64_t, Outcome, int) override {}
   void on_probe_end(WorkerId, std::uint64_t, Outcome, LoadReport) override {}
   void on_oddity(WorkerId, const std::string&) override {}
-  bool may_begin(WorkerId) override { return may; }
-  bool may_leave(WorkerId, std::uint64_t cookie) override { return cookie != over; }
-  bool may = true;
-  std::uint64_t over = 0;  // the call that may not leave any more
+  bool may_begin(WorkerId) override { return may_begin_calls; }
+  bool may_leave(WorkerId, std::uint64_t cookie) override { return cookie != blocked_call; }
+  bool may_begin_calls = true;
+  std::uint64_t blocked_call = 0;  // must not be sent any more
   bool run_until(const std::function<bool()>& done) { return ::laureltide::tests::run_until(loop, done); }
 
   void SetUp() override {
@@ -514,10 +526,10 @@
       ASSERT_TRUE(run_until([&] { return !peer.read().empty(); }));
     }
   }
-  // Ids of the whole calls that come when it reads again.
+  // Ids of the complete calls that arrive once the invoker reads again.
   std::set<std::uint64_t> read_all() {
     run_until([&] {
-      return peer.read(), peer.ended() || peer.error() || Crossing::frames(peer.read()).size() == kCalls;
+      return peer.read(), peer.ended() || peer.error() || RaceTest::frames(peer.read()).size() == kCalls;
     });
     std::set<std::uint64_t> ids;
     std::string_view bytes = peer.read();
@@ -531,24 +543,25 @@
   }
 };
 
-// Nobody tells that it leaves: discovery is out of reach, and what was proven of it has run out.
-TEST_F(QueuedLink, NothingLeavesWhenItMayNotBeginAnyMore) {
-  may = false;
-  ASSERT_TRUE(run_until([&] { return ends.size() == kCalls; }));
+// Discovery is unreachable and the worker's lease has expired, so it may be draining.
+TEST_F(LinkWithUnsentCalls, SendsNothingWhenWorkerMayNotBeginCalls) {
+  may_begin_calls = false;
+  ASSERT_TRUE(run_until([&] { return outcomes.size() == kCalls; }));
   EXPECT_LT(read_all().size(), kCalls);
-  for (std::uint64_t c = 1; c <= kCalls; ++c) EXPECT_EQ(ends[c], std::vector<Outcome>{Outcome::kReset}) << c;
+  for (std::uint64_t c = 1; c <= kCalls; ++c)
+    EXPECT_EQ(outcomes[c], std::vector<Outcome>{Outcome::kReset}) << c;
 }
 
-// The workers drop repeats of it no more.
-TEST_F(QueuedLink, ACallThatMayNotLeaveAnyMoreDoesNot) {
-  over = kCalls;
-  ASSERT_TRUE(run_until([&] { return ends.size() == kCalls; }));
+// The workers no longer deduplicate repeats of this call.
+TEST_F(LinkWithUnsentCalls, DoesNotSendCallThatMayNoLongerLeave) {
+  blocked_call = kCalls;
+  ASSERT_TRUE(run_until([&] { return outcomes.size() == kCalls; }));
   EXPECT_FALSE(read_all().contains(kCalls));
-  EXPECT_EQ(ends[kCalls], std::vector<Outcome>{Outcome::kReset});
+  EXPECT_EQ(outcomes[kCalls], std::vector<Outcome>{Outcome::kReset});
 }
 
-// As few bytes held back as can be: they go at the next turn of the loop when the invoker reads.
-struct BarelyQueuedLink : QueuedLink {
+// Holds as few unsent bytes as possible: they are sent in the next loop step after the invoker reads.
+struct LinkWithFewUnsentBytes : LinkWithUnsentCalls {
   std::uint64_t calls = 0;
   void call() {
     worker::Call call;
@@ -564,42 +577,43 @@
   }
 };
 
-// The machine takes what was held back between the cancel and the loop's next turn: the invoker is told all
-// the same, by a give-up or by the end of the connection, since the call's next attempt may be under way.
-TEST_F(BarelyQueuedLink, ACancelIsToldThoughItsBytesAreTakenJustThen) {
+// The kernel accepts the unsent bytes between the cancel and the next loop step. The invoker must still learn
+// of the cancel, by a give-up frame or a closed connection, because the call's next attempt may be under way.
+TEST_F(LinkWithFewUnsentBytes, NotifiesInvokerOfCancelWhenBytesWereJustSent) {
   link.cancel(1);
   peer.read();
-  ASSERT_TRUE(run_until([&] { return ends[1].size() == 1; }));
-  EXPECT_EQ(ends[1], std::vector<Outcome>{Outcome::kCancelled});
-  const auto told = [&] {
-    const std::vector<int> codes = Crossing::frames(peer.read());
+  ASSERT_TRUE(run_until([&] { return outcomes[1].size() == 1; }));
+  EXPECT_EQ(outcomes[1], std::vector<Outcome>{Outcome::kCancelled});
+  const auto notified = [&] {
+    const std::vector<int> codes = RaceTest::frames(peer.read());
     return peer.ended() || peer.error() != 0 || std::find(codes.begin(), codes.end(), 66) != codes.end();
   };
-  EXPECT_TRUE(::laureltide::tests::run_until(loop, told, 2s));
+  EXPECT_TRUE(::laureltide::tests::run_until(loop, notified, 2s));
 }
 
-TEST_F(QueuedLink, LeavesWhenTheInvokerReads) { EXPECT_EQ(read_all().size(), kCalls); }
+TEST_F(LinkWithUnsentCalls, SendsAllWhenInvokerReads) { EXPECT_EQ(read_all().size(), kCalls); }
 
-TEST_F(QueuedLink, ACallThatNobodyWantsNeverLeaves) {
+TEST_F(LinkWithUnsentCalls, DoesNotSendWithdrawnCall) {
   link.withdraw(kCalls);
-  ASSERT_TRUE(run_until([&] { return ends[kCalls].size() == 1; }));
-  EXPECT_EQ(ends[kCalls], std::vector<Outcome>{Outcome::kCancelled});
+  ASSERT_TRUE(run_until([&] { return outcomes[kCalls].size() == 1; }));
+  EXPECT_EQ(outcomes[kCalls], std::vector<Outcome>{Outcome::kCancelled});
   EXPECT_FALSE(read_all().contains(kCalls));
-  for (std::uint64_t c = 1; c <= kCalls; ++c) EXPECT_EQ(ends[c].size(), 1U) << c;
+  for (std::uint64_t c = 1; c <= kCalls; ++c) EXPECT_EQ(outcomes[c].size(), 1U) << c;
 }
 
-TEST_F(QueuedLink, NothingLeavesForAnInvokerThatLeaves) {
+TEST_F(LinkWithUnsentCalls, SendsNothingAfterWithdrawingAllWaiting) {
   link.withdraw_waiting();
-  ASSERT_TRUE(run_until([&] { return ends.size() == kCalls; }));
+  ASSERT_TRUE(run_until([&] { return outcomes.size() == kCalls; }));
   EXPECT_LT(read_all().size(), kCalls);
-  for (std::uint64_t c = 1; c <= kCalls; ++c) EXPECT_EQ(ends[c], std::vector<Outcome>{Outcome::kReset}) << c;
+  for (std::uint64_t c = 1; c <= kCalls; ++c)
+    EXPECT_EQ(outcomes[c], std::vector<Outcome>{Outcome::kReset}) << c;
 }
 
-// ---- Discovery out of reach -------------------------------------------------------------------------------
+// ---- Unreachable discovery -------------------------------------------------------------------------------
 
-// The program stands still for longer than the watch may be silent, with a comment of before in its buffer:
-// what the bus has told since is not known, so the old comment says nothing and the bus is asked anew.
-TEST_F(Crossing, ACommentThatIsReadLateSaysNothing) {
+// The process stalls for longer than the allowed silence, with an old comment in its receive buffer. Events
+// published since then are unknown, so the comment must not make the list current, and the node reconnects.
+TEST_F(RaceTest, IgnoresBusCommentReadLate) {
   RawListener raw;
   bus.tell({member("s-1", invoker().address())});
   doc["bus"] = raw.address().text();
@@ -611,11 +625,11 @@
   const auto current = [&] { return node->core().module().list_holds(loop.now()); };
   EXPECT_TRUE(current());
   watch.write(":\n\n");
-  const auto held = loop.timer([began = loop.now(), this] {
+  const auto blocking_step = loop.timer([began = loop.now(), this] {
     while (loop.now() - began < 2500ms) {
     }
   });
-  held->start(0ms);
+  blocking_step->start(0ms);
   RawSocket next;
   ASSERT_TRUE(run_until([&] { return next = raw.take(), next.stands(); }));
   EXPECT_FALSE(current());
@@ -625,16 +639,16 @@
 
 // ---- Discovery ----------------------------------------------------------------------------------------
 
-// The watch falls silent, and the next one too; then the bus is not there. What it told is known in 4 s.
-TEST_F(Crossing, AWatchThatFallsSilentTwiceStillTellsADrainInTime) {
-  PlatformInvoker &one = invoker(), &two = invoker();
-  bus.tell({member("s-1", one.address()), member("s-2", two.address())});
+// The bus connection falls silent, and so does the next one. The drain must still be known within 4 s.
+TEST_F(RaceTest, LearnsOfDrainInTimeAfterTwoSilentConnections) {
+  PlatformInvoker &first = invoker(), &second = invoker();
+  bus.tell({member("s-1", first.address()), member("s-2", second.address())});
   start();
   ASSERT_TRUE(run_until([&] { return node->feed().connected(); }));
   bus.set_silent(true);
   bus.mute_next(1);
   const Time began = loop.now();
-  bus.tell({member("s-1", one.address(), "leaving")});
+  bus.tell({member("s-1", first.address(), "leaving")});
   ASSERT_TRUE(run_until([&] { return node->roster().last() == 2; }));
   EXPECT_EQ(bus.asked(), 3U);
   EXPECT_LT(loop.now() - began, Duration(4s));
--- a/tests/node/repeat_window_test.cpp
+++ b/tests/node/repeat_window_test.cpp
@@ -1,6 +1,6 @@
-// A keyed call whose first attempt may have run: its repeat may leave only while the workers still drop
-// repeats, also where it has waited for a connection since it was decided. A whole controller in virtual
-// time.
+// The first attempt of a keyed call may have run. Its repeat may be sent only while the workers still
+// deduplicate repeats, even if it has waited for a connection since the decision to send it. Runs a complete
+// controller in virtual time.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -21,7 +21,7 @@
 using tests::kBus, tests::kListen;
 
 constexpr std::uint8_t kError = 101;
-constexpr Duration kWindow = 300ms, kSlack = 50ms;  // the slack is the protocol page's
+constexpr Duration kWindow = 300ms, kSlack = 50ms;  // allowed by the protocol
 constexpr Duration kDialTimeout = 1s;
 const io::Address kFirst{"127.0.0.1", 7001}, kSecond{"127.0.0.1", 7002};
 constexpr std::uint64_t kFunctions = 12;
@@ -59,41 +59,41 @@
                                     {"work", "8"}},
                                    "b"));
   }
-  static std::optional<Time> came_at(const PlatformInvoker& worker, std::uint64_t id) {
+  static std::optional<Time> received_at(const PlatformInvoker& worker, std::uint64_t id) {
     for (const PlatformInvoker::Seen& seen : worker.calls())
       if (seen.id == id) return seen.at;
     return std::nullopt;
   }
 };
 
-// The first worker answers each call with an error (it may have run); connections to the second come up only
-// after the window.
-TEST_F(RepeatWindow, ARepeatThatWaitedForAConnectionPastTheWindowNeverLeaves) {
+// The first worker answers each call with an error, so it may have run. Connections to the second worker come
+// up only after the window.
+TEST_F(RepeatWindow, DoesNotSendRepeatThatWaitedPastTheWindow) {
   first.answer_all(kError);
   net.set_connect_delay(kSecond, kWindow + 200ms);
   for (std::uint64_t n = 0; n < kFunctions; ++n) call(n);
   net.run_for(3s);
 
-  std::size_t erred = 0, late = 0;
+  std::size_t failed_first = 0, late = 0;
   for (std::uint64_t n = 0; n < kFunctions; ++n) {
-    const auto ran = came_at(first, 0x1000 + n), repeated = came_at(second, 0x1000 + n);
-    erred += ran.has_value();
+    const auto ran = received_at(first, 0x1000 + n), repeated = received_at(second, 0x1000 + n);
+    failed_first += ran.has_value();
     late += ran && repeated && *repeated > *ran + kWindow + kSlack;
   }
-  EXPECT_GT(erred, 0U);
-  EXPECT_EQ(late, 0U) << "of " << erred;
+  EXPECT_GT(failed_first, 0U);
+  EXPECT_EQ(late, 0U) << "of " << failed_first;
   for (const std::int32_t number : numbers) EXPECT_EQ(client->replies().count(number), 1U);
 }
 
-// The same within the window: the repeat leaves and serves.
-TEST_F(RepeatWindow, ARepeatThatWaitedWithinTheWindowLeaves) {
+// The connection comes up within the window, so the repeat is sent.
+TEST_F(RepeatWindow, SendsRepeatThatWaitedWithinTheWindow) {
   first.answer_all(kError);
   net.set_connect_delay(kSecond, kWindow / 2);
   for (std::uint64_t n = 0; n < kFunctions; ++n) call(n);
   net.run_for(3s);
   std::size_t repeated = 0;
   for (std::uint64_t n = 0; n < kFunctions; ++n)
-    repeated += came_at(first, 0x1000 + n) && came_at(second, 0x1000 + n);
+    repeated += received_at(first, 0x1000 + n) && received_at(second, 0x1000 + n);
   EXPECT_GT(repeated, 0U);
 }
 
