--- a/tests/apps/call_run_twice_test.cpp
+++ b/tests/apps/call_run_twice_test.cpp
@@ -1,5 +1,7 @@
-// A call that may not run twice is run once, though answers come twice: real nodes over loopback, the
-// platform's stand-ins in this process. Judged from what workers ran and what clients were told.
+// A call that must not run twice runs once even if answers arrive in duplicate: a duplicate of an earlier
+// refusal must not be taken as the answer of the next attempt, which may have run. Real nodes over loopback,
+// with the platform's stand-ins in this process; judged from what the workers ran and which replies clients
+// received.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -21,9 +23,9 @@
 using standin::PlatformInvoker;
 
 constexpr std::uint64_t kFirstFunction = 0xf1;
-constexpr std::uint8_t kMiss = 99, kFull = 100, kOver = 102;  // what tells that a call never ran
+constexpr std::uint8_t kMiss = 99, kFull = 100, kOver = 102;  // answers that mean that a call never ran
 
-// Nodes, workers and clients; counts what became of each call.
+// Nodes, workers and clients; records the result of each call.
 class CallRunTwice : public testing::Test {
  protected:
   std::string dir = fresh_directory("laureltide-twice-test-");
@@ -35,7 +37,7 @@
   struct Sent {
     PlatformClient* client = nullptr;
     std::int32_t number = 0;
-    bool once = false;  // may not be repeated
+    bool once = false;  // must not run twice
   };
   std::map<std::uint64_t, Sent> sent;  // by id
   std::uint64_t next_id = 0x1000;
@@ -61,7 +63,8 @@
     doc["limits"]["sockets"] = sockets;
     for (json& c : doc["settings"]["classes"]) {
       c["give_up_ns"] = Duration(3s).count();
-      // A call waits for room for 0.4 of it, and a worker that was full rests for up to 0.2 s.
+      // A call waits for a free worker for 0.4 of the target, and the cooldown after a full answer lasts up
+      // to 0.2 s.
       c["target_ns"] = Duration(1500ms).count();
     }
     for (int n = 0; n < node_count; ++n) {
@@ -105,7 +108,7 @@
         loop, [&] { return std::all_of(sent.begin(), sent.end(), [&](auto& s) { return reply(s.second); }); },
         20s);
   }
-  // The functions stand before what is tested.
+  // Loads the functions before the test proper.
   void load(std::uint64_t functions) {
     for (std::uint64_t f = 0; f < functions; ++f) call(*clients[0], true, kFirstFunction + f);
     ASSERT_TRUE(all_answered()) << logs();
@@ -121,7 +124,8 @@
     return n;
   }
 
-  // Rules 1 and 2, and that the service goes on.
+  // Checks that each call gets one answer and no once-only call runs twice or is refused after it ran, and
+  // that calls are still served.
   void expect_rules_kept(double least_served) {
     ASSERT_TRUE(all_answered()) << logs();
     std::map<std::uint64_t, int> runs;
@@ -149,7 +153,8 @@
 
 class DuplicateRefusal : public CallRunTwice, public testing::WithParamInterface<std::uint8_t> {};
 
-// The copy of an earlier refusal comes when the next attempt of the same call is out at the same worker.
+// The duplicate of an earlier refusal arrives while the next attempt of the same call is in flight to the
+// same worker.
 TEST_P(DuplicateRefusal, IsNotTakenAsAnswerOfNextAttempt) {
   ASSERT_NO_FATAL_FAILURE(start(1, 1));
   load(4);
@@ -160,7 +165,7 @@
     ::laureltide::tests::run_for(loop, 25ms);
   }
   expect_rules_kept(0.9);
-  // The log says over which connections the attempts went.
+  // The log names the connection of each attempt.
   EXPECT_NE(logs().find("repeat: call 0000000000001004 class release end So attempts w1/c"),
             std::string::npos)
       << logs();
@@ -170,7 +175,7 @@
   return info.param == kMiss ? "Miss" : info.param == kFull ? "Full" : "Over";
 });
 
-// Half of all answers, those to orders too, come again up to 450 ms later; connections are few.
+// Half of all answers, including those to orders, are duplicated up to 450 ms later, over few connections.
 TEST_F(CallRunTwice, DuplicateAnswersAtAnyTimeWithFewConnections) {
   ASSERT_NO_FATAL_FAILURE(start(3, 2, 64));
   for (const auto& worker : workers) {
--- a/tests/apps/discovery_outage_test.cpp
+++ b/tests/apps/discovery_outage_test.cpp
@@ -1,17 +1,12 @@
-// Regression test of docs/incidents/discovery-out-of-reach.md.
+// Regression test of docs/incidents/discovery-out-of-reach.md: nodes kept sending calls and orders to
+// draining workers while discovery was unreachable (692 calls and 177 orders in the incident).
 //
-// Symptom: 692 calls and 177 orders to load reached workers past the told time of their drain and the grace.
-// Sequence: discovery falls silent for every node; busy workers begin to drain just after that and stay up;
-// more than 4 s pass, after which the drains count as told; nodes go on sending to these workers until
-// discovery is heard again.
-// Cause: an entry of the list had no age. A lost watch was dialled again, and the decisions went on with the
-// last list for as long as that took.
-// What settled it: `event bus: silent` six times in 20 s, `members=14` until v42 was read at 17.8 s, and the
-// calls that the workers s-4ebfb72c and s-71dd3b9a turned away from 10.9 s on, each within 1 ms of the
-// client's own send; no line of an event that was passed over, `late_ms=0` throughout.
+// Discovery falls silent for every node, then busy workers begin to drain and stay up. After 4 s these drains
+// count as reported, but the nodes went on with their last list until discovery returned, because list
+// entries had no age.
 //
 // Two real nodes serve clients over loopback; the bus and the workers run in this process. The second node is
-// killed within the outage and starts again with what its configuration says is known.
+// killed during the outage and restarts with the events in its configuration.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -32,8 +27,8 @@
 using standin::PlatformInvoker;
 
 constexpr Duration kDrainGrace = 300ms;
-constexpr Duration kProtocolSlack = 50ms;  // the protocol's on each time limit
-// What this process may be late in reading on a busy machine. The fault goes on for seconds.
+constexpr Duration kProtocolSlack = 50ms;  // allowed by the protocol on each time limit
+// By how much this process may read late on a busy machine; the failure lasts for seconds.
 constexpr Duration kReadDelayAllowance = 700ms;
 constexpr int kWorkers = 8;
 constexpr int kFunctions = 6;
@@ -42,7 +37,7 @@
 struct OutageCase {
   const char* name;
   Kind kind;
-  Duration notified_after;  // when a later change of the list counts as told, from the protocol's pages
+  Duration notified_after;  // when a later list change counts as reported, per the protocol
 };
 
 void PrintTo(const OutageCase& outage, std::ostream* out) { *out << outage.name; }
@@ -113,7 +108,7 @@
                  {"work", "8"}},
                 "b");
   }
-  // 80 calls a second over all nodes.
+  // Sends 80 calls per second in all.
   void traffic(Duration span) {
     const Time end = loop.now() + span;
     while (loop.now() < end) {
@@ -156,7 +151,7 @@
   begin_outage();
   traffic(1s);
   for (const int worker : {0, 1}) {
-    EXPECT_FALSE(workers[static_cast<std::size_t>(worker)]->calls().empty());  // it is busy
+    EXPECT_FALSE(workers[static_cast<std::size_t>(worker)]->calls().empty());  // the worker is busy
     drain(worker);
   }
   traffic(2s);
@@ -177,10 +172,10 @@
     std::size_t calls = 0, orders = 0;
     for (const PlatformInvoker::SentWhileDraining& seen : workers[index]->sent_while_draining())
       if (seen.at > latest) ++(seen.code == 65 ? calls : orders);
-    EXPECT_EQ(calls, 0U) << "worker " << worker << ": calls past the told time and the grace";
-    EXPECT_EQ(orders, 0U) << "worker " << worker << ": orders past the told time and the grace";
+    EXPECT_EQ(calls, 0U) << "worker " << worker << ": calls after the notification time and the grace";
+    EXPECT_EQ(orders, 0U) << "worker " << worker << ": orders after the notification time and the grace";
   }
-  // Half of the workers are healthy throughout: the service goes on.
+  // Half of the workers stay healthy, so calls must still be served.
   EXPECT_GE(served_within * 10, sent_within * 9) << served_within << " of " << sent_within << " served\n"
                                                  << nodes[0]->log() << nodes[1]->log();
   RecordProperty("calls_within", static_cast<int>(sent_within));
@@ -202,8 +197,8 @@
   }
 }
 
-// The node stands still (SIGSTOP) while discovery goes and workers drain. What lies in its sockets when it
-// goes on, comments of the bus among it, says nothing of now.
+// The nodes are suspended (SIGSTOP) while discovery is lost and workers drain. Data in their sockets, such as
+// bus comments, is stale when they resume and must not make the list current.
 TEST_P(DiscoveryOutage, SuspendedNodeDoesNotTrustStaleListAfterResume) {
   traffic(2s);
   for (const auto& node : nodes) node->signal(SIGSTOP);
--- a/tests/apps/node_process.h
+++ b/tests/apps/node_process.h
@@ -1,4 +1,4 @@
-// `laureltide node` as a process for tests: its configuration, its log, its port.
+// Runs `laureltide node` as a process for tests, with its configuration file, log and port.
 #pragma once
 
 #include <filesystem>
--- a/tests/apps/node_program_test.cpp
+++ b/tests/apps/node_program_test.cpp
@@ -1,5 +1,5 @@
-// `laureltide node` as a process: signals that cross, a kill and a restart at the same address, descriptors
-// that idle clients fill. Its platform runs in this process, on the real host.
+// `laureltide node` as a process: signals in any order, a kill and a restart at the same address, and idle
+// clients that exhaust descriptors. The stand-in platform runs in this process, over real sockets.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 #include <sys/stat.h>
@@ -61,7 +61,7 @@
   bool run_until(const std::function<bool()>& done, Duration most = 60s) {
     return tests::run_until(loop, done, most);
   }
-  // A client whose call was served: the node decides and serves.
+  // Waits until the node is healthy and has served a call of the returned client.
   std::unique_ptr<PlatformClient> served_client() {
     std::unique_ptr<PlatformClient> client;
     const bool good = run_until([&] {
@@ -116,21 +116,21 @@
                                          std::vector<int>{SIGTERM, SIGTERM},
                                          std::vector<int>{SIGHUP, SIGTERM, SIGHUP}));
 
-// Sent while the program reads its configuration, before it has a handler: it waits, and counts when it
-// serves.
+// SIGHUP arrives while the program reads its configuration, before its handler is installed. It stays pending
+// and is handled once the node serves.
 TEST_F(NodeProgram, HandlesSighupReceivedBeforeServing) {
   const std::string path = dir + "/config.json", gate = dir + "/gate";
   ASSERT_EQ(mkfifo(gate.c_str(), 0600), 0);
   setenv("ROUTER_CONFIG", gate.c_str(), 1);
   start();
   int fd = -1;
-  ASSERT_TRUE(
-      run_until([&] { return fd = open(gate.c_str(), O_WRONLY | O_NONBLOCK), fd >= 0; }));  // it reads
+  ASSERT_TRUE(run_until(
+      [&] { return fd = open(gate.c_str(), O_WRONLY | O_NONBLOCK), fd >= 0; }));  // the program is reading it
   child->signal(SIGHUP);
   const std::string text = doc.dump();
   doc["bus"] = "nowhere";
   write();
-  std::filesystem::rename(path, gate);  // what it reads when it hears of the signal
+  std::filesystem::rename(path, gate);  // the file that the reload reads
   ASSERT_EQ(::write(fd, text.data(), text.size()), static_cast<ssize_t>(text.size()));
   close(fd);
   const auto client = served_client();
@@ -140,7 +140,7 @@
   EXPECT_EQ(exit_status(), 0);
 }
 
-// Killed with calls in flight, and started again while its old connections' leftovers are still there.
+// Killed with calls in flight and restarted while clients still hold their ends of the old connections.
 TEST_F(NodeProgram, RestartsAtSameAddressAfterKill) {
   start();
   for (int incarnation = 0; incarnation < 3; ++incarnation) {
@@ -151,13 +151,13 @@
     ASSERT_TRUE(run_until([&] { return invoker.calls().size() > before; }));
     child->signal(SIGKILL);
     child->wait(10s);
-    start();  // with the old clients' ends still open
+    start();  // while the old clients' ends are open
     const auto next = served_client();
     EXPECT_FALSE(client->open());
   }
 }
 
-// A configuration that cannot be used: exit 2, and the line says what, where, and what was expected.
+// An unusable configuration ends with exit status 2 and a line that names the key and what was expected.
 TEST_F(NodeProgram, NamesInvalidSetting) {
   doc["settings"]["rules"]["cold_ns"] = "soon";
   write();
@@ -168,8 +168,8 @@
       << log();
 }
 
-// All descriptors that clients may have are taken by ones that say nothing, while discovery is down. The
-// watch comes up again, the list it tells counts, and a call is served on a connection of its own.
+// Idle clients take all descriptors available to clients while discovery is down. The bus connection must
+// still come up again, its list must be applied, and a call must be served on a connection of its own.
 TEST_F(NodeProgram, IdleClientsLeaveDescriptorsForEventBusListenerAndLinks) {
   constexpr rlim_t kFew = 64;
   doc["limits"]["sockets"] = kFew;
@@ -185,7 +185,7 @@
   std::vector<std::unique_ptr<PlatformClient>> idle;
   for (int i = 0; i < 200; ++i) {
     idle.push_back(std::make_unique<PlatformClient>(loop, at));
-    idle.back()->health();  // they have spoken, and keep their connection
+    idle.back()->health();  // a client that has sent something may stay connected
   }
   ASSERT_TRUE(run_until([&] {
     return std::all_of(idle.begin(), idle.end(),
--- a/tests/apps/programs_test.cpp
+++ b/tests/apps/programs_test.cpp
@@ -33,7 +33,7 @@
     Child child(words, dir + "/log");
     return child.wait(most);
   }
-  // All that a program says on its standard output.
+  // Returns what a program writes to its standard output.
   std::string output(std::vector<std::string> words) {
     words[0] = kBin + "/" + words[0];
     Child child(words, dir + "/log");
@@ -45,7 +45,7 @@
     std::ofstream(dir + "/" + name) << text;
     return dir + "/" + name;
   }
-  // Waits for an event in a program's log.
+  // Waits for a text in a program's log.
   bool logged(const std::string& part, Duration most = 30s) {
     const auto until = std::chrono::steady_clock::now() + most;
     while (std::chrono::steady_clock::now() < until) {
@@ -77,7 +77,7 @@
   std::string text = read_file(kExamples + "/gateway.toml");
   text.replace(text.find("examples/workers.json"), 21,
                write("workers.json", read_file(kExamples + "/workers.json")));
-  const PortReserve nobody;  // no broker listens there
+  const PortReserve nobody;  // reserves a port on which no broker listens
   text.replace(text.find("127.0.0.1:5672"), 14, "127.0.0.1:" + std::to_string(nobody.port()));
   const std::string file = write("g.toml", text);
   Child gateway({kBin + "/laureltide", "serve", "--config", file}, dir + "/log");
@@ -113,10 +113,11 @@
   ASSERT_TRUE(doc.is_object());
   EXPECT_EQ(doc["kept"], true);
   EXPECT_GT(doc["classes"]["release"]["served"].get<int>(), 0);
-  EXPECT_GT(doc["redelivered"].get<int>(), 0);  // the drop and the crash gave calls back
+  EXPECT_GT(doc["redelivered"].get<int>(),
+            0);  // the connection drop and the broker crash caused redeliveries
 }
 
-// Real processes, real kills: at every step of a call in turn, by each front and in each mode.
+// Kills real processes at every step of a call, over the broker and over HTTP, in each mode.
 class Days : public Programs, public testing::WithParamInterface<const char*> {};
 TEST_P(Days, KillsAtEveryStepKeepTheRules) {
   const std::string report = dir + "/report.json";
@@ -143,13 +144,13 @@
   const auto doc = nlohmann::json::parse(read_file(report), nullptr, false);
   ASSERT_TRUE(doc.is_object());
   EXPECT_GT(doc["layers"]["runs"].get<int>(), 300);
-  EXPECT_GT(doc["layers"]["renewed"].get<int>(), 50);  // calls did move to the new releases
+  EXPECT_GT(doc["layers"]["renewed"].get<int>(), 50);  // calls moved to the new releases
   EXPECT_EQ(doc["layers"]["boxes"].get<int>(), 2);
   EXPECT_TRUE(doc["layers"]["once"].empty());
   EXPECT_TRUE(doc["layers"]["mixed"].empty());
 }
 
-// Packed, pushed to a store, fetched by a box, damaged and found out.
+// Packs layers, pushes them to a store, then checks that damaged layers are detected.
 TEST_F(Programs, PacksPushesAndVerifiesLayers) {
   write("model", std::string(300'000, 'm') + std::string(200'000, 'n'));
   const std::string one = dir + "/one";
@@ -178,7 +179,8 @@
   for (const auto& blob : std::filesystem::directory_iterator(one + "/blobs/sha256"))
     std::ofstream(blob.path(), std::ios::app) << "x";
   EXPECT_EQ(run({"laureltide", "layers", "verify", one}), 1);
-  EXPECT_EQ(run({"laureltide", "layers", "push", one, "--store", at}), 1);  // nothing broken is published
+  EXPECT_EQ(run({"laureltide", "layers", "push", one, "--store", at}),
+            1);  // damaged layers are not published
 }
 
 TEST_F(Programs, LedgerToolsReadLedgerOfGateway) {
@@ -213,9 +215,9 @@
   EXPECT_EQ(hash.size(), 7U + 64U);
 }
 
-TEST_F(Programs, PlayTellsABrokenRuleAndABadDayApart) {
+TEST_F(Programs, PlayReportsInvalidDayFile) {
   std::string day = read_file(kExamples + "/smoke-day.toml");
-  // A patience that nothing can meet, and no grace: rule 1 cannot be kept.
+  // A give-up time that no call can meet, without grace: rule 1 cannot be kept.
   for (std::size_t at; (at = day.find("give_up_ms = 8000")) != std::string::npos;)
     day.replace(at, 17, "target_ms = 1\ngive_up_ms = 1\n");
   day.replace(day.find("answer_grace_ms = 20000"), 23, "answer_grace_ms = 0");
