--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -17,7 +17,8 @@
   using std::runtime_error::runtime_error;
 };
 
-// Settings without which the module would decide wrongly, and which have no safe default, with their types.
+// Required settings and their types: the module would decide wrongly without them, and they have no safe
+// default.
 enum class ValueType { kNumber, kBoolean, kString, kList };
 struct RequiredKey {
   const char* path;
@@ -207,29 +208,29 @@
   return *parsed;
 }
 
-std::uint64_t required_limit(const json& doc, const char* name, std::uint64_t least) {
+std::uint64_t required_limit(const json& doc, const char* name, std::uint64_t minimum) {
   const json& value = required_member(doc, name, "limits.");
-  if (!value.is_number() || value.get<double>() < static_cast<double>(least) || value.get<double>() > 1e9)
-    throw ConfigError("limits." + std::string(name) + ": expected a number from " + std::to_string(least) +
-                      " on, not " + value.dump().substr(0, 40));
+  if (!value.is_number() || value.get<double>() < static_cast<double>(minimum) || value.get<double>() > 1e9)
+    throw ConfigError("limits." + std::string(name) + ": expected a number of at least " +
+                      std::to_string(minimum) + ", not " + value.dump().substr(0, 40));
   return static_cast<std::uint64_t>(value.get<double>());
 }
 
 Config read_config(const json& doc) {
   if (!doc.is_object()) throw ConfigError("not a JSON object");
-  Config c;
-  c.name = required_string(doc, "name", "");
-  c.listen = required_address(doc, "listen");
-  c.bus = required_address(doc, "bus");
+  Config config;
+  config.name = required_string(doc, "name", "");
+  config.listen = required_address(doc, "listen");
+  config.bus = required_address(doc, "bus");
   const std::string seed = required_string(doc, "seed", "");
-  if (std::from_chars(seed.data(), seed.data() + seed.size(), c.seed, 16).ec != std::errc{})
+  if (std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16).ec != std::errc{})
     throw ConfigError("seed: expected up to 16 hex digits");
   const json& limits = required_member(doc, "limits", "");
   const json& cores = required_member(limits, "cores", "limits.");
   check_type(cores, "limits.cores", ValueType::kNumber);
-  c.limits.cores = cores.get<double>();
-  c.limits.memory_mb = required_limit(limits, "memory_mb", 1);
-  c.limits.sockets = required_limit(limits, "sockets", 64);
+  config.limits.cores = cores.get<double>();
+  config.limits.memory_mb = required_limit(limits, "memory_mb", 1);
+  config.limits.sockets = required_limit(limits, "sockets", 64);
   const json& known = required_member(doc, "known", "");
   const json& batch = required_member(known, "batch", "known.");
   check_type(batch, "known.batch", ValueType::kList);
@@ -237,7 +238,7 @@
     const json& offset = required_member(event, "offset", "known.batch.");
     if (!offset.is_number_unsigned())
       throw ConfigError("known.batch.offset: expected an event's number, not " + offset.dump().substr(0, 40));
-    c.known_events.push_back({offset.get<std::uint64_t>(), event.dump()});
+    config.known_events.push_back({offset.get<std::uint64_t>(), event.dump()});
   }
 
   const json& settings = required_member(doc, "settings", "");
@@ -246,26 +247,29 @@
   std::string pairs;
   flatten(settings, "", pairs);
   wire::LaunchSettings launch = wire::parse_settings(pairs);
-  c.unused_settings = std::move(launch.unread);
-  c.settings.module = std::move(launch.settings);
-  c.settings.class_names = names_in(settings, "classes");
-  c.settings.tenant_names = names_in(settings, "tenants");
-  c.settings.kind_names = names_in(settings, "kinds");
-  c.settings.gateway.name = c.name;
+  config.unused_settings = std::move(launch.unread);
+  config.settings.module = std::move(launch.settings);
+  config.settings.class_names = names_in(settings, "classes");
+  config.settings.tenant_names = names_in(settings, "tenants");
+  config.settings.kind_names = names_in(settings, "kinds");
+  config.settings.gateway.name = config.name;
   // Returning an answer takes less time than the rules' answer grace.
-  c.settings.gateway.answer_reserve = c.settings.module.rules.answer_grace;
-  c.settings.gateway.most_body = platform::kMostBody;
-  if (c.settings.module.tick <= Duration(0)) throw ConfigError("settings.tick_ns: expected a time above 0");
-  if (c.settings.module.classes.empty()) throw ConfigError("settings.classes: expected one class or more");
+  config.settings.gateway.answer_reserve = config.settings.module.rules.answer_grace;
+  config.settings.gateway.most_body = platform::kMostBody;
+  if (config.settings.module.tick <= Duration(0))
+    throw ConfigError("settings.tick_ns: expected a time above 0");
+  if (config.settings.module.classes.empty())
+    throw ConfigError("settings.classes: expected one class or more");
   const auto stats = settings.find("stats");
   const auto columns = stats == settings.end() ? std::vector<std::string>() : names_in(*stats, "columns");
   for (std::size_t i = 0; i < columns.size() && i < launch.columns.size(); ++i)
-    if (const auto value = load_value(launch.columns[i])) c.load_columns.emplace_back(columns[i], *value);
-  c.invoker_idle_timeout =
+    if (const auto value = load_value(launch.columns[i]))
+      config.load_columns.emplace_back(columns[i], *value);
+  config.invoker_idle_timeout =
       Duration(static_cast<Duration::rep>(find_path(settings, "bounds.keepalive_ns")->get<double>()));
-  c.max_streams = std::max<std::size_t>(
+  config.max_streams = std::max<std::size_t>(
       1, static_cast<std::size_t>(std::min(1e6, find_path(settings, "bounds.max_streams")->get<double>())));
-  return c;
+  return config;
 }
 
 }  // namespace
--- a/src/node/intake.cpp
+++ b/src/node/intake.cpp
@@ -69,30 +69,30 @@
   if (!call_id) return reject("call: not 16 hex digits");
   parsed.id = *call_id;
   const std::string* op = field("op");
-  const auto request_class = op ? index_of(settings.class_names, *op) : std::nullopt;
-  if (!request_class) return reject("op: no such class");
+  const auto class_index = op ? index_of(settings.class_names, *op) : std::nullopt;
+  if (!class_index) return reject("op: no such class");
   const std::string* org = field("org");
   const auto tenant = org ? index_of(settings.tenant_names, *org) : std::nullopt;
   if (!tenant && !settings.tenant_names.empty()) return reject("org: no such tenant");
-  const RequestClass& c = settings.module.classes[*request_class];
+  const RequestClass& request_class = settings.module.classes[*class_index];
   const std::string* row = field("row");
   const auto function_id = row ? platform::parse_id(*row) : std::nullopt;
   if (!function_id) return reject("row: not 16 hex digits");
   const std::string* ttl = field("ttl");
   const auto ttl_ms = ttl ? parse_number(*ttl) : std::nullopt;
-  const double give_up_ms = std::chrono::duration<double, std::milli>(c.give_up).count();
+  const double give_up_ms = std::chrono::duration<double, std::milli>(request_class.give_up).count();
   if (!ttl_ms || *ttl_ms <= 0 || *ttl_ms > kMaxTtlFactor * give_up_ms)
     return reject("ttl: not a figure of milliseconds that a client of this class waits");
   const std::string* dedupe = field("dedupe");
   if (dedupe && !dedupe->empty() && !is_valid_key(*dedupe))
     return reject("dedupe: not 1 to 64 letters, digits, '-' and '_'");
-  if (c.semantics == Semantics::kKeyed && (!dedupe || dedupe->empty()))
+  if (request_class.semantics == Semantics::kKeyed && (!dedupe || dedupe->empty()))
     return reject("dedupe: missing, and this class is keyed");
 
   auto function = std::make_shared<config::Function>();
   function->name = *row;
   function->id = FunctionId{*function_id};
-  function->request_class = static_cast<ClassIndex>(*request_class);
+  function->request_class = static_cast<ClassIndex>(*class_index);
   if (const std::string* work = field("work"); work && !work->empty()) {
     const auto work_ms = parse_number(*work);
     if (!work_ms) return reject("work: not a figure from 0 to 1e9");
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -132,7 +132,7 @@
     }
     return false;
   }
-  if (!taken.why.empty()) report_anomaly("event bus: event is partly unreadable: " + taken.why);
+  if (!taken.why.empty()) report_anomaly("event bus: an event is partly unreadable: " + taken.why);
   if (taken.verdict != Verdict::kTaken) return true;
   log_list_changes(number, taken.changes);
   taken.update.from = core_.list().version();
@@ -374,17 +374,17 @@
 }
 
 void Node::log_stats() {
-  const controller::Counters& c = core_.counters();
+  const controller::Counters& counters = core_.counters();
   const controller::Core::Sizes sizes = core_.sizes();
   std::ostringstream line;
-  line << "stats taken=" << c.taken << " served=" << c.served << " refused=" << c.refused
-       << " failed=" << c.failed << " abandoned=" << c.abandoned << " turned_away=" << c.turned_away
-       << " attempts=" << c.attempts << " holds=" << c.holds << " probes=" << c.probes
-       << " open=" << sizes.open << " clients=" << front_.connections() << " to_invokers=" << budget_.open
-       << " names=" << sizes.names << " members=" << sizes.members << " alarms=" << sizes.alarms
-       << " attempts_ended=";
-  for (std::size_t i = 0; i < c.ended.size(); ++i)
-    line << (i ? "," : "") << controller::text_of(static_cast<Outcome>(i)) << ':' << c.ended[i];
+  line << "stats taken=" << counters.taken << " served=" << counters.served << " refused=" << counters.refused
+       << " failed=" << counters.failed << " abandoned=" << counters.abandoned
+       << " turned_away=" << counters.turned_away << " attempts=" << counters.attempts
+       << " holds=" << counters.holds << " probes=" << counters.probes << " open=" << sizes.open
+       << " clients=" << front_.connections() << " to_invokers=" << budget_.open << " names=" << sizes.names
+       << " members=" << sizes.members << " alarms=" << sizes.alarms << " attempts_ended=";
+  for (std::size_t i = 0; i < counters.ended.size(); ++i)
+    line << (i ? "," : "") << controller::text_of(static_cast<Outcome>(i)) << ':' << counters.ended[i];
   line << " calls_ended=";
   bool first = true;
   for (const auto& [end, count] : calls_by_end_) {
@@ -393,7 +393,7 @@
   }
   line << " repeats=" << std::exchange(repeated_calls_, 0) << " connections_ended=";
   first = true;
-  for (const auto& [reason, count] : c.connections_ended) {
+  for (const auto& [reason, count] : counters.connections_ended) {
     line << (first ? "" : ",") << reason << ':' << count;
     first = false;
   }
