--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -115,7 +115,7 @@
   return true;
 }
 
-// ---- Worker list -----------------------------------------------------------------------------------------
+// ---- Worker list --------------------------------------------------------------------------------------
 
 bool Node::apply_event(std::uint64_t number, std::string_view data) {
   using Verdict = platform::Roster::Verdict;
@@ -288,7 +288,7 @@
   }
 }
 
-// ---- Draining ------------------------------------------------------------------------------------------
+// ---- Draining -----------------------------------------------------------------------------------------
 
 void Node::drain(std::function<void()> done) {
   if (on_drained_) return;  // already draining
@@ -322,7 +322,7 @@
   on_drained_();
 }
 
-// ---- Logging --------------------------------------------------------------------------------------------
+// ---- Logging ------------------------------------------------------------------------------------------
 
 void Node::report_anomaly(const std::string& what) {
   const std::string kind = anomaly_kind(what);
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -87,8 +87,7 @@
   EXPECT_NE(why.find("sometimes"), std::string::npos);
 }
 
-// ---- Call fields
-// -------------------------------------------------------------------------------------------
+// ---- Call fields --------------------------------------------------------------------------------------
 
 front::Fields good_fields() {
   return {
@@ -152,8 +151,7 @@
   EXPECT_TRUE(to_reply(refused, true, 1s).fields.empty());
 }
 
-// ---- Complete controller
-// -------------------------------------------------------------------------------------
+// ---- Complete controller ------------------------------------------------------------------------------
 
 struct NodeTest : testing::Test {
   sim::Network net;
@@ -421,8 +419,7 @@
   EXPECT_EQ(state(1), WorkerState::kDraining);
 }
 
-// ---- Log lines and lost bus connections
-// ---------------------------------------------------------------------
+// ---- Log lines and lost bus connections ---------------------------------------------------------------
 
 TEST_F(NodeTest, LogsBeginAndEndOfDiscoveryOutage) {
   net.run_for(2s);
--- a/tests/node/race_test.cpp
+++ b/tests/node/race_test.cpp
@@ -49,7 +49,7 @@
 
 using Kinds = std::vector<std::string>;
 
-// ---- Client server ----------------------------------------------------------------------------------------
+// ---- Client server ------------------------------------------------------------------------------------
 
 struct ServerOnSockets : testing::Test, front::Server::Events {
   net::Loop loop;
@@ -108,7 +108,7 @@
   serve(0);
   client.write(PlatformClient::call_bytes(2, {{"n", "2"}}, ""));
   RawSocket another(server.address());
-  server.stop_listening();  // accepts it before the loop can read the second request
+  server.stop_listening();  // accepts the other client before the loop can read the second request
   EXPECT_EQ(server.connections(), 1U);
   ASSERT_TRUE(run_until([&] { return client.read(), client.ended() || client.error(); }));
   EXPECT_EQ(client.error(), 0);
@@ -130,7 +130,8 @@
   EXPECT_EQ(reply_kinds(client.read()).size(), calls.size());
 }
 
-// A client that half-closes its connection is gone: requests sent before that are accepted, then cancelled.
+// A client that half-closes its connection is gone: requests sent before that are accepted and then
+// reported as gone.
 TEST_F(ServerOnSockets, TreatsHalfCloseAsClientGone) {
   RawSocket client(server.address());
   client.write(PlatformClient::call_bytes(1, {{"n", "1"}}, "") +
@@ -158,7 +159,7 @@
   ASSERT_TRUE(run_until([&] { return reply_kinds(client.read()).size() == 2; }));
 }
 
-// ---- Complete controller -----------------------------------------------------------------------------
+// ---- Complete controller ------------------------------------------------------------------------------
 
 struct RaceTest : testing::Test {
   net::Loop loop;
@@ -342,11 +343,11 @@
   EXPECT_EQ(reply_kinds(client.read()), (Kinds{"served", "served"}));
 }
 
-// ---- Departed clients and draining workers during a connect --------------------------------------
+// ---- Departed clients and draining workers during a connect -------------------------------------------
 
 // The settings allow no cancel, so only the core can drop a call that waits for a connection.
 struct DelayedConnect : RaceTest {
-  RawListener invoker{true};  // accepts the connection 1 s after room() is called
+  RawListener invoker{true};  // the connection comes up about 1 s late, once room() was called
   RawSocket client;
   void SetUp() override {
     doc["settings"]["bounds"]["may_cancel"] = false;
@@ -409,8 +410,7 @@
   EXPECT_TRUE(frames_received().empty());
 }
 
-// ---- Connections ended by invokers
-// -----------------------------------------------------------------------------------
+// ---- Connections ended by invokers --------------------------------------------------------------------
 
 struct RawInvoker : RaceTest {
   RawListener invoker;
@@ -455,7 +455,7 @@
   run_for(50ms);
   EXPECT_EQ(reply_kinds(client.read()), Kinds{"failed"});
   for (RawSocket s = invoker.take(); s.stands(); s = invoker.take())
-    for (const int code : frames(s.read())) EXPECT_NE(code, 65);  // it may have run: no second attempt
+    for (const int code : frames(s.read())) EXPECT_NE(code, 65);  // the call may have run: no second attempt
 }
 
 TEST_F(RawInvoker, ParsesAnswerReadOneByteAtATime) {
@@ -486,8 +486,7 @@
   EXPECT_EQ(reply_kinds(client.read()), Kinds{"failed"});
 }
 
-// ---- Unsent bytes of a link
-// ------------------------------------------------------------------------------------
+// ---- Unsent bytes of a link ---------------------------------------------------------------------------
 
 // The invoker does not read: the socket buffers fill, the link holds the rest and would send it once the
 // invoker reads again.
@@ -609,7 +608,7 @@
     EXPECT_EQ(outcomes[c], std::vector<Outcome>{Outcome::kReset}) << c;
 }
 
-// ---- Unreachable discovery -------------------------------------------------------------------------------
+// ---- Unreachable discovery ----------------------------------------------------------------------------
 
 // The process stalls for longer than the allowed silence, with an old comment in its receive buffer. Events
 // published since then are unknown, so the comment must not make the list current, and the node reconnects.
