--- a/tests/apps/call_run_twice_test.cpp
+++ b/tests/apps/call_run_twice_test.cpp
@@ -118,7 +118,7 @@
     for (const auto& node : nodes) all += node->log();
     return all;
   }
-  std::size_t copies_sent() const {
+  std::size_t duplicates_sent() const {
     std::size_t n = 0;
     for (const auto& worker : workers) n += worker->copies_sent();
     return n;
@@ -144,10 +144,10 @@
     EXPECT_EQ(refused_though_run, 0U) << logs();
     EXPECT_EQ(two_answers, 0U) << logs();
     EXPECT_GE(static_cast<double>(served), least_served * static_cast<double>(sent.size())) << logs();
-    EXPECT_GT(copies_sent(), 0U);
+    EXPECT_GT(duplicates_sent(), 0U);
     RecordProperty("calls", static_cast<int>(sent.size()));
     RecordProperty("served", static_cast<int>(served));
-    RecordProperty("copies", static_cast<int>(copies_sent()));
+    RecordProperty("copies", static_cast<int>(duplicates_sent()));
   }
 };
 
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -423,21 +423,21 @@
 
 TEST_F(NodeTest, LogsBeginAndEndOfDiscoveryOutage) {
   net.run_for(2s);
-  const auto said = [&](const char* part) {
+  const auto count_logged = [&](const char* part) {
     return std::count_if(lines.begin(), lines.end(),
                          [&](const std::string& l) { return l.find(part) != std::string::npos; });
   };
-  EXPECT_EQ(said("discovery: "), 0);
+  EXPECT_EQ(count_logged("discovery: "), 0);
   bus.stop();
   net.run_for(20s);
-  EXPECT_EQ(said("discovery: no data for"), 1);
-  EXPECT_EQ(said("keeping the list as of event 1"), 1);
-  EXPECT_GE(said("discovery_heard_ms_ago=1"), 1);  // 10 s or more
+  EXPECT_EQ(count_logged("discovery: no data for"), 1);
+  EXPECT_EQ(count_logged("keeping the list as of event 1"), 1);
+  EXPECT_GE(count_logged("discovery_heard_ms_ago=1"), 1);  // 10 s or more
   bus.start();
   bus.tell({member(1, "leaving")});
   net.run_for(3s);
-  EXPECT_EQ(said("discovery: data received again after"), 1);
-  EXPECT_EQ(said("list: event 2 changes 1 of 3 workers: s-1 (worker 1) ready->draining"), 1);
+  EXPECT_EQ(count_logged("discovery: data received again after"), 1);
+  EXPECT_EQ(count_logged("list: event 2 changes 1 of 3 workers: s-1 (worker 1) ready->draining"), 1);
 }
 
 TEST_F(NodeTest, CountsCallEndsAndLogsThemOnRequest) {
@@ -450,12 +450,12 @@
   front::Fields f = fields();
   client.call(f, "b");
   net.run_for(11s);
-  const auto said = [&](const std::string& part) {
+  const auto was_logged = [&](const std::string& part) {
     return std::any_of(lines.begin(), lines.end(),
                        [&](const std::string& l) { return l.find(part) != std::string::npos; });
   };
-  EXPECT_TRUE(said("call " + f["call"] + " class read end So attempts w"));
-  EXPECT_TRUE(said("calls_ended=So:1"));
+  EXPECT_TRUE(was_logged("call " + f["call"] + " class read end So attempts w"));
+  EXPECT_TRUE(was_logged("calls_ended=So:1"));
 }
 
 // The bus connection breaks within an event, and the next one never sends a byte.
