--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -22,7 +22,7 @@
     case Outcome::kConnectFailed: return 'c';
     case Outcome::kReset: return 'r';
     case Outcome::kCancelled: return 'x';
-    case Outcome::kMoot: return 'z';
+    case Outcome::kNotRun: return 'z';
     case Outcome::kMiss: return 'm';
   }
   return '?';
@@ -48,7 +48,7 @@
     case Outcome::kConnectFailed: return "connect-failed";
     case Outcome::kReset: return "reset";
     case Outcome::kCancelled: return "cancelled";
-    case Outcome::kMoot: return "moot";
+    case Outcome::kNotRun: return "moot";
     case Outcome::kMiss: return "miss";
   }
   return "unknown";
@@ -84,7 +84,7 @@
       list_(settings_->kind_names),
       started_unix_ms_(host.unix_ms()),
       wall_offset_(host.now().time_since_epoch() - std::chrono::milliseconds(host.unix_ms())),
-      next_request_(options_.first_request),
+      next_request_(options_.first_request_id),
       dead_links_(host),
       timer_(host.timer([this] { ring(); })) {
   inside_ = true;  // the constructor already asks for timers
@@ -116,7 +116,7 @@
 
 std::optional<std::string> Core::take(Call call, Done done, std::uint32_t* given) {
   if (open_.size() >= static_cast<std::size_t>(settings_->module.bounds.max_open)) {
-    ++counters_.turned_away;
+    ++counters_.rejected;
     return "the gateway holds as many calls as it may";
   }
   // Ids are given in turn, so one comes back only after 2^32 others; one still open is passed over.
@@ -127,8 +127,8 @@
   const RequestClass& c = settings_->module.classes[function.request_class];
   auto open = std::make_unique<Open>();
   open->taken = host_.now();
-  const Duration patience = std::min(call.patience.value_or(c.give_up), kLongestPatience);
-  open->deadline = open->taken + std::max(Duration(0), patience - settings_->gateway.answer_reserve);
+  const Duration timeout = std::min(call.timeout.value_or(c.give_up), kLongestPatience);
+  open->deadline = open->taken + std::max(Duration(0), timeout - settings_->gateway.answer_reserve);
   open->call = std::move(call);
   open->done = std::move(done);
   ++counters_.taken;
@@ -171,8 +171,8 @@
                                         : 'w';
   const auto left = std::count_if(open.attempts.begin(), open.attempts.end(),
                                   [](const Attempt& a) { return a.left.has_value(); });
-  events_.on_ended({open.call, answer, end, attempts, static_cast<std::size_t>(left), trace(open),
-                    host_.now() - open.taken});
+  events_.on_call_finished({open.call, answer, end, attempts, static_cast<std::size_t>(left), trace(open),
+                            host_.now() - open.taken});
   const Done done = std::move(open.done);
   open.call.body = {};
   done(std::move(answer));
@@ -235,7 +235,7 @@
                     number >= static_cast<std::size_t>(settings_->module.bounds.attempts_cap);
   if (over || !link(worker)) {  // nothing left this process
     CallEnd end;
-    end.outcome = over ? Outcome::kMoot : Outcome::kConnectFailed;
+    end.outcome = over ? Outcome::kNotRun : Outcome::kConnectFailed;
     behind_.push_back([this, word, end](Time) { end_attempt(word, end); });
     return;
   }
@@ -268,11 +268,11 @@
     const laureltide::Rules& rules = settings_->module.rules;
     const members::Member* member = list_.find(attempt.worker);
     const bool ready = member && member->state == WorkerState::kReady;
-    const bool stale = now - attempt.sent > std::min(rules.drain_grace, rules.overload_for) / 2;
+    const bool stale = now - attempt.sent > std::min(rules.drain_grace, rules.overload_duration) / 2;
     CallEnd end;
-    end.outcome = open.answered || now >= open.deadline ? Outcome::kMoot : Outcome::kFull;
-    const bool may_leave = module_->may_leave(now, RequestId{id}, static_cast<AttemptNumber>(number));
-    if (end.outcome == Outcome::kMoot || !ready || stale || !may_leave) return end_attempt(word, end);
+    end.outcome = open.answered || now >= open.deadline ? Outcome::kNotRun : Outcome::kFull;
+    const bool may_be_sent = module_->may_be_sent(now, RequestId{id}, static_cast<AttemptNumber>(number));
+    if (end.outcome == Outcome::kNotRun || !ready || stale || !may_be_sent) return end_attempt(word, end);
     attempt.waits = false;
   }
   worker::Port* to = link(attempt.worker);
@@ -317,9 +317,9 @@
   attempt.connection = connection;
 }
 
-bool Core::may_leave(WorkerId, std::uint64_t word) {
+bool Core::may_be_sent(WorkerId, std::uint64_t word) {
   const RequestId request{static_cast<std::uint32_t>(word >> 8)};
-  return module_->may_leave(host_.now(), request, static_cast<AttemptNumber>(word & 0xff));
+  return module_->may_be_sent(host_.now(), request, static_cast<AttemptNumber>(word & 0xff));
 }
 
 void Core::on_connection_end(WorkerId, std::string_view why) {
@@ -342,11 +342,12 @@
   Attempt& attempt = open.attempts[number];
   if (attempt.outcome) return;
   if (attempt.waits) {  // whatever ended it: it never left
-    if (end.outcome == Outcome::kTimeout) end.outcome = Outcome::kMoot;
+    if (end.outcome == Outcome::kTimeout) end.outcome = Outcome::kNotRun;
     attempt.waits = false;
     book_->never_ran(open.call.record, *attempt.recorded);
-  } else if (attempt.recorded && (end.outcome == Outcome::kFull || end.outcome == Outcome::kMiss ||
-                                  end.outcome == Outcome::kConnectFailed || end.outcome == Outcome::kMoot)) {
+  } else if (attempt.recorded &&
+             (end.outcome == Outcome::kFull || end.outcome == Outcome::kMiss ||
+              end.outcome == Outcome::kConnectFailed || end.outcome == Outcome::kNotRun)) {
     book_->never_ran(open.call.record, *attempt.recorded);
   }
   attempt.outcome = end.outcome;
@@ -372,7 +373,7 @@
   result.terminal = open.answered;
   result.took = host_.now() - attempt.sent;
   result.found = end.found;
-  if (settings_->module.instances.tells_company) result.company = end.company;
+  if (settings_->module.instances.reports_others_in_flight) result.others_in_flight = end.others_in_flight;
   result.report = end.report;
   feed([this, result](Time now) { module_->on(now, result); });
   discard(id);
@@ -488,7 +489,7 @@
 
 std::unique_ptr<worker::Port> Core::own_protocol(WorkerId worker, const io::Address& address) {
   worker::LinkOptions options;
-  options.controller = settings_->module.me;
+  options.controller = settings_->module.replica_index;
   options.controller_name = settings_->gateway.name;
   options.started_unix_ms = started_unix_ms_;
   options.dial_timeout = settings_->module.bounds.dial_timeout;
@@ -509,13 +510,13 @@
   }
 }
 
-void Core::take_list(const members::Update& update, bool cached) {
+void Core::apply_worker_list(const members::Update& update, bool cached) {
   std::map<WorkerId, std::optional<std::int64_t>> started;
   for (const auto& [id, link] : links_)
     if (const members::Member* m = list_.find(id)) started[id] = m->started_unix_ms;
-  members::List::Taken taken = list_.take(update, wall_offset_, cached);
-  if (taken.verdict == members::Verdict::kGap && on_gap) on_gap();
-  if (taken.verdict != members::Verdict::kTaken) return;
+  members::WorkerList::ApplyResult taken = list_.take(update, wall_offset_, cached);
+  if (taken.verdict == members::Verdict::kGap && on_worker_list_gap) on_worker_list_gap();
+  if (taken.verdict != members::Verdict::kApplied) return;
   feed([this, taken = std::move(taken)](Time now) {
     module_->on(now, ListUpdate{taken.scope, taken.version, taken.entries});
   });
@@ -553,7 +554,7 @@
   Name& name = names_[static_cast<std::uint64_t>(function.id)];
   name.used = host_.now();
   if (name.text.empty()) name.text = function.name;
-  if (names_.size() > options_.most_names) forget_names();
+  if (names_.size() > options_.max_function_names) forget_names();
 }
 
 // Callers may name functions without end. Past the bound the longer unused half goes: an order for one of
@@ -566,13 +567,13 @@
   std::nth_element(used.begin(), middle, used.end());
   const Time limit = *middle;
   std::erase_if(names_, [&](const auto& n) { return n.second.used < limit; });
-  if (names_.size() > options_.most_names)  // all named at the same moment
+  if (names_.size() > options_.max_function_names)  // all named at the same moment
     std::erase_if(names_, [&](const auto& n) { return n.second.used == limit; });
 }
 
-void Core::tidy() {
+void Core::discard_unused() {
   prune_links();
-  list_.forget_gone([this](WorkerId id) { return links_.contains(id); });
+  list_.remove_gone([this](WorkerId id) { return links_.contains(id); });
   const Time old = host_.now() - kNameUnused;
   std::erase_if(names_, [&](const auto& n) { return n.second.used < old; });
 }
@@ -580,10 +581,10 @@
 // ---- Peers, logs, time --------------------------------------------------------------------------------
 
 void Core::fetch_list() {
-  if (on_gap) on_gap();
+  if (on_worker_list_gap) on_worker_list_gap();
 }
-void Core::tell(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) {
-  events_.on_tell(peer, bytes);
+void Core::send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) {
+  events_.on_send_to_peer(peer, bytes);
 }
 void Core::log(std::string_view line) { events_.on_log(std::string(line)); }
 void Core::peer_told(std::uint32_t from, std::span<const std::byte> bytes) {
@@ -601,7 +602,7 @@
   behind_.clear();
 }
 
-void Core::wake(Duration delay, TimerToken token) { alarm(host_.now() + delay, Due::kModule, token); }
+void Core::start_timer(Duration delay, TimerToken token) { alarm(host_.now() + delay, Due::kModule, token); }
 
 void Core::alarm(Time at, Due what, std::uint64_t token) {
   alarms_.push({at, alarm_count_++, what, token});
@@ -630,7 +631,7 @@
   CallEnd end;
   const auto to = links_.find(worker);
   const bool never = to != links_.end() && to->second->forget_call(word);
-  end.outcome = never ? Outcome::kMoot : Outcome::kTimeout;
+  end.outcome = never ? Outcome::kNotRun : Outcome::kTimeout;
   return end;
 }
 
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -189,7 +189,7 @@
 std::optional<platform::LoadValue> load_value(wire::ReportColumn column) {
   using platform::LoadValue;
   switch (column) {
-    case wire::ReportColumn::kInHand: return LoadValue::kInHand;
+    case wire::ReportColumn::kInFlight: return LoadValue::kInHand;
     case wire::ReportColumn::kWaiting: return LoadValue::kWaiting;
     case wire::ReportColumn::kBusyCores: return LoadValue::kBusyCores;
     case wire::ReportColumn::kRunMs: return LoadValue::kRunMs;
@@ -247,7 +247,7 @@
   std::string pairs;
   flatten(settings, "", pairs);
   wire::LaunchSettings launch = wire::parse_settings(pairs);
-  config.unused_settings = std::move(launch.unread);
+  config.unused_settings = std::move(launch.unknown_keys);
   config.settings.module = std::move(launch.settings);
   config.settings.class_names = names_in(settings, "classes");
   config.settings.tenant_names = names_in(settings, "tenants");
@@ -255,7 +255,7 @@
   config.settings.gateway.name = config.name;
   // Returning an answer takes less time than the rules' answer grace.
   config.settings.gateway.answer_reserve = config.settings.module.rules.answer_grace;
-  config.settings.gateway.most_body = platform::kMostBody;
+  config.settings.gateway.most_body = platform::kMaxBodyBytes;
   if (config.settings.module.tick <= Duration(0))
     throw ConfigError("settings.tick_ns: expected a time above 0");
   if (config.settings.module.classes.empty())
--- a/src/node/intake.cpp
+++ b/src/node/intake.cpp
@@ -104,11 +104,11 @@
   controller::Call call;
   call.name = *id;
   call.function = function.get();
-  call.facts = std::move(function);
+  call.owned_function = std::move(function);
   if (tenant) call.tenant = static_cast<std::uint32_t>(*tenant);
   if (dedupe) call.key = *dedupe;
   call.body = std::move(body);
-  call.patience = from_ms(*ttl_ms);
+  call.timeout = from_ms(*ttl_ms);
   parsed.call = std::move(call);
   return parsed;
 }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -47,7 +47,7 @@
 }
 
 controller::Core::Options core_options(const Config& config, const platform::LinkOptions& links,
-                                       platform::Budget& budget, io::Host& host) {
+                                       platform::ConnectionBudget& budget, io::Host& host) {
   controller::Core::Options options;
   options.seed = config.seed;
   options.port = [&links, &budget, &host](WorkerId id, const io::Address& at, worker::LinkEvents& events) {
@@ -60,11 +60,11 @@
   platform::LinkOptions options;
   const laureltide::Settings& module = config.settings.module;
   if (module.bounds.dial_timeout > Duration(0)) options.dial_timeout = module.bounds.dial_timeout;
-  options.quiet = 2 * options.dial_timeout;
-  options.idle = config.invoker_idle_timeout * 2 / 3;
+  options.unresponsive_after = 2 * options.dial_timeout;
+  options.idle_timeout = config.invoker_idle_timeout * 2 / 3;
   options.streams = config.max_streams;
   options.load = config.load_columns;
-  options.tells_company = module.instances.tells_company;
+  options.reports_others_in_flight = module.instances.reports_others_in_flight;
   return options;
 }
 
@@ -90,9 +90,9 @@
       front_(host, front_options(config_), *this),
       second_timer_(host.timer([this] { on_second(); })),
       drain_timer_(host.timer([this] { check_drain(); })) {
-  budget_.most = socket_share(config_.limits, 1 - kClientSocketShare);
-  budget_.at_least = budget_.most / 4;
-  budget_.most -= budget_.at_least;
+  budget_.limit = socket_share(config_.limits, 1 - kClientSocketShare);
+  budget_.reserve = budget_.limit / 4;
+  budget_.limit -= budget_.reserve;
   max_open_body_bytes_ =
       static_cast<std::size_t>(kBodyMemoryShare * static_cast<double>(config_.limits.memory_mb << 20));
 }
@@ -104,12 +104,12 @@
   apply_known_events(config_.known_events);
   set_list_current_until(host_.now());  // the known events are complete up to the start
   if (!front_.listen(config_.listen)) return false;
-  feed_ = std::make_unique<platform::Follower>(
-      host_, config_.bus, roster_.last(), platform::Follower::Options{},
+  feed_ = std::make_unique<platform::EventSubscriber>(
+      host_, config_.bus, roster_.last(), platform::EventSubscriber::Options{},
       [this](const platform::Event& event) { return apply_event(event.id, event.data); },
       [this](const std::string& reason) { report_anomaly("event bus: " + reason); });
-  feed_->on_current([this](Time at) { set_list_current_until(at); });
-  core_.on_gap = [] {};  // events are numbered, so apply_event() detects gaps before the core could
+  feed_->on_current_until([this](Time at) { set_list_current_until(at); });
+  core_.on_worker_list_gap = [] {};  // events are numbered, so apply_event() detects gaps before the core could
   next_second_at_ = host_.now() + std::chrono::seconds(1);
   second_timer_->start(std::chrono::seconds(1));
   return true;
@@ -118,8 +118,8 @@
 // ---- Worker list --------------------------------------------------------------------------------------
 
 bool Node::apply_event(std::uint64_t number, std::string_view data) {
-  using Verdict = platform::Roster::Verdict;
-  platform::Roster::Taken taken = roster_.take(number, data);
+  using Verdict = platform::InvokerList::Verdict;
+  platform::InvokerList::ApplyResult taken = roster_.take(number, data);
   if (taken.verdict == Verdict::kGap || taken.verdict == Verdict::kBad) {
     const bool repeated = std::exchange(last_failed_event_, number) == number;
     report_anomaly("event bus: event " + std::to_string(number) + ": " +
@@ -127,27 +127,27 @@
                    (repeated ? "; requesting all events" : "; requesting it again"));
     // The event may report a draining worker, so it must not be skipped.
     if (repeated && feed_) {
-      roster_.rebuild(number);
-      feed_->ask_from(0);
+      roster_.start_replay(number);
+      feed_->resume_from(0);
     }
     return false;
   }
   if (!taken.why.empty()) report_anomaly("event bus: an event is partly unreadable: " + taken.why);
-  if (taken.verdict != Verdict::kTaken) return true;
+  if (taken.verdict != Verdict::kApplied) return true;
   log_list_changes(number, taken.changes);
   taken.update.from = core_.list().version();
-  core_.take_list(taken.update);
+  core_.apply_worker_list(taken.update);
   return true;
 }
 
 // Logs one line per event: the number of changed workers, and the names of the first few.
-void Node::log_list_changes(std::uint64_t event, const std::vector<platform::Roster::Change>& changes) {
+void Node::log_list_changes(std::uint64_t event, const std::vector<platform::InvokerList::Change>& changes) {
   if (changes.empty()) return;
   std::ostringstream line;
   line << "list: event " << event << " changes " << changes.size() << " of " << roster_.names()
        << " workers:";
   std::size_t logged = 0;
-  for (const platform::Roster::Change& change : changes) {
+  for (const platform::InvokerList::Change& change : changes) {
     if (++logged > kMaxChangesLogged) {
       line << " ...";
       break;
@@ -161,13 +161,13 @@
 
 // During a replay of all events the current list still lacks the event that made the replay necessary.
 void Node::set_list_current_until(Time at) {
-  if (roster_.rebuilding() && at > list_current_until_) return;
+  if (roster_.replaying() && at > list_current_until_) return;
   list_current_until_ = at;
   core_.list_current_until(at);
 }
 
 void Node::check_discovery() {
-  const Time last_heard = feed_->heard_at();
+  const Time last_heard = feed_->last_line_at();
   const Time now = host_.now();
   const bool lost = now - last_heard > kDiscoveryLostAfter;
   const auto ms = [](Duration d) {
@@ -182,7 +182,7 @@
                                    ms(last_heard - last_heard_before_loss_) + "; the list is as of event " +
                                    std::to_string(roster_.last()));
   }
-  const bool needed = !core_.module().list_holds(now);
+  const bool needed = !core_.module().list_is_valid(now);
   if (needed == std::exchange(leases_needed_, needed)) return;
   const LeaseCounters& leases = core_.module().lease_counters();
   log_line_(Severity::kInfo,
@@ -197,8 +197,8 @@
 bool Node::apply_known_events(const std::vector<KnownEvent>& known) {
   bool complete = true;
   for (const KnownEvent& event : known)
-    if (!(complete = !roster_.rebuilding() && apply_event(event.number, event.data))) break;
-  if (feed_ && !roster_.rebuilding()) feed_->skip_to(roster_.last());
+    if (!(complete = !roster_.replaying() && apply_event(event.number, event.data))) break;
+  if (feed_ && !roster_.replaying()) feed_->skip_to(roster_.last());
   return complete;
 }
 
@@ -237,7 +237,7 @@
     return reject_call(ticket, Kind::kException, "call: an id that is open or was so just now");
   if (on_drained_) {  // must be answered before SIGKILL, however late it was read
     const Duration left = kill_deadline_ - host_.now();
-    parsed.call->patience = std::min(parsed.call->patience.value_or(left), left);
+    parsed.call->timeout = std::min(parsed.call->timeout.value_or(left), left);
   }
   const bool too_late = on_drained_ && host_.now() >= listener_closes_at_ + kLateReadAllowance;
   const std::size_t body_bytes = parsed.call->body.size();
@@ -335,7 +335,7 @@
 void Node::on_oddity(const std::string& what) { report_anomaly(what); }
 void Node::on_log(const std::string& line) { report_anomaly("module: " + line); }
 // A line per call would exceed the memory available for the log, so these lines are off by default.
-void Node::on_ended(const controller::Ended& ended) {
+void Node::on_call_finished(const controller::CallSummary& ended) {
   ++calls_by_end_[ended.end];
   log_repeated_attempts(ended);
   if (!log_calls_) return;
@@ -350,10 +350,10 @@
 
 // Logs a call that is not safe to repeat but was sent more than once: how each attempt ended and over which
 // connections they went.
-void Node::log_repeated_attempts(const controller::Ended& ended) {
+void Node::log_repeated_attempts(const controller::CallSummary& ended) {
   const config::Function& function = *ended.call.function;
   const RequestClass& request_class = settings_->module.classes[function.request_class];
-  if (ended.left < 2 || request_class.semantics == Semantics::kRepeatable) return;
+  if (ended.sent_attempts < 2 || request_class.semantics == Semantics::kRepeatable) return;
   if (++repeated_calls_ > kMaxRepeatsLogged) return;
   std::ostringstream line;
   line << "repeat: call " << ended.call.name << " class " << settings_->class_names[function.request_class];
@@ -367,7 +367,7 @@
   worst_timer_delay_ = std::max(worst_timer_delay_, now - next_second_at_);
   next_second_at_ = now + std::chrono::seconds(1);
   second_timer_->start(std::chrono::seconds(1));
-  core_.tidy();
+  core_.discard_unused();
   check_discovery();
   expire_ended_ids(now - kEndedIdRetention, kMaxEndedIds);
   if (++seconds_running_ % kStatsIntervalSeconds == 0) log_stats();
@@ -379,10 +379,12 @@
   std::ostringstream line;
   line << "stats taken=" << counters.taken << " served=" << counters.served << " refused=" << counters.refused
        << " failed=" << counters.failed << " abandoned=" << counters.abandoned
-       << " turned_away=" << counters.turned_away << " attempts=" << counters.attempts
+       << " turned_away=" << counters.rejected
+       << " attempts=" << counters.attempts
        << " holds=" << counters.holds << " probes=" << counters.probes << " open=" << sizes.open
        << " clients=" << front_.connections() << " to_invokers=" << budget_.open << " names=" << sizes.names
-       << " members=" << sizes.members << " alarms=" << sizes.alarms << " attempts_ended=";
+       << " members=" << sizes.members << " alarms=" << sizes.pending_timers
+       << " attempts_ended=";
   for (std::size_t i = 0; i < counters.ended.size(); ++i)
     line << (i ? "," : "") << controller::text_of(static_cast<Outcome>(i)) << ':' << counters.ended[i];
   line << " calls_ended=";
@@ -398,11 +400,11 @@
     first = false;
   }
   line << " list_event=" << roster_.last() << " discovery_heard_ms_ago="
-       << std::chrono::duration_cast<std::chrono::milliseconds>(host_.now() - feed_->heard_at()).count();
+       << std::chrono::duration_cast<std::chrono::milliseconds>(host_.now() - feed_->last_line_at()).count();
   const LeaseCounters& leases = core_.module().lease_counters();
   line << " leases=asked:" << leases.asked << ",ready:" << leases.ready << ",refused:" << leases.refused
        << ",unanswered:" << leases.unanswered
-       << " list_current=" << (core_.module().list_holds(host_.now()) ? 1 : 0);
+       << " list_current=" << (core_.module().list_is_valid(host_.now()) ? 1 : 0);
   line << " late_ms=" << std::chrono::duration_cast<std::chrono::milliseconds>(worst_timer_delay_).count();
   worst_timer_delay_ = {};
   log_line_(Severity::kInfo, line.str());
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -19,7 +19,7 @@
 #include "front/server.h"
 #include "node/config.h"
 #include "platform/feed.h"
-#include "platform/roster.h"
+#include "platform/invoker_list.h"
 
 namespace laureltide::node {
 
@@ -41,8 +41,8 @@
   void drain(std::function<void()> done);
 
   controller::Core& core() { return core_; }
-  const platform::Roster& roster() const { return roster_; }
-  const platform::Follower& feed() const { return *feed_; }
+  const platform::InvokerList& roster() const { return roster_; }
+  const platform::EventSubscriber& feed() const { return *feed_; }
   io::Address address() const { return front_.address(); }
   std::size_t clients() const { return front_.connections(); }
   std::size_t id_count() const { return open_calls_.size() + ended_calls_.size(); }
@@ -56,9 +56,9 @@
   void on_oddity(const std::string& what) override;
 
   // ---- controller::CoreEvents ----
-  void on_ended(const controller::Ended& ended) override;
+  void on_call_finished(const controller::CallSummary& ended) override;
   void on_log(const std::string& line) override;
-  void on_tell(std::optional<std::uint32_t>, std::span<const std::byte>) override {}  // no peers here
+  void on_send_to_peer(std::optional<std::uint32_t>, std::span<const std::byte>) override {}  // no peers here
 
  private:
   struct OpenCall {
@@ -74,8 +74,8 @@
   void report_anomaly(const std::string& what);
   void on_second();
   void log_stats();
-  void log_repeated_attempts(const controller::Ended& ended);
-  void log_list_changes(std::uint64_t event, const std::vector<platform::Roster::Change>& changes);
+  void log_repeated_attempts(const controller::CallSummary& ended);
+  void log_list_changes(std::uint64_t event, const std::vector<platform::InvokerList::Change>& changes);
   void check_discovery();
   void set_list_current_until(Time at);
   void check_drain();
@@ -86,11 +86,11 @@
   bool log_calls_;
   std::shared_ptr<const config::Settings> settings_;
   platform::LinkOptions link_options_;
-  platform::Budget budget_;
-  platform::Roster roster_;
+  platform::ConnectionBudget budget_;
+  platform::InvokerList roster_;
   controller::Core core_;
   front::Server front_;
-  std::unique_ptr<platform::Follower> feed_;
+  std::unique_ptr<platform::EventSubscriber> feed_;
   std::unordered_map<front::Server::Ticket, OpenCall> open_calls_;
   std::unordered_map<std::uint64_t, front::Server::Ticket> tickets_by_id_;  // of open calls
   // Calls that ended recently. Every call has a new id, so a call with a recent id is rejected: its frame
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -107,7 +107,7 @@
   EXPECT_EQ(r.call->function->work_hint, Duration(8'200'000));
   EXPECT_EQ(r.call->tenant, 1U);
   EXPECT_EQ(r.call->key, "abc");
-  EXPECT_EQ(r.call->patience, Duration(800ms));
+  EXPECT_EQ(r.call->timeout, Duration(800ms));
 }
 
 TEST(NodeIntake, NamesInvalidOrMissingField) {
@@ -197,7 +197,7 @@
     return c.replies().find(number)->second.kind;
   }
   std::optional<WorkerState> state(int i) const {
-    const auto number = node->roster().number_of("s-" + std::to_string(i));
+    const auto number = node->roster().worker_id_of("s-" + std::to_string(i));
     const members::Member* m = number ? node->core().list().find(WorkerId{*number}) : nullptr;
     return m ? std::optional(m->state) : std::nullopt;
   }
@@ -326,11 +326,11 @@
 TEST_F(NodeTest, GivesNewNumberToInvokerAtReusedAddress) {
   PlatformClient client(net, kListen);
   for (int i = 0; i < 10; ++i) client.call(fields(), "b"), net.run_for(50ms);
-  const auto before = *node->roster().number_of("s-1");
+  const auto before = *node->roster().worker_id_of("s-1");
   bus.tell({member(1, "left"), {"s-9", invoker_at(1), "active", 1, 0}});
   net.run_for(100ms);
-  EXPECT_FALSE(node->roster().number_of("s-1"));
-  EXPECT_NE(*node->roster().number_of("s-9"), before);
+  EXPECT_FALSE(node->roster().worker_id_of("s-1"));
+  EXPECT_NE(*node->roster().worker_id_of("s-9"), before);
   for (int i = 0; i < 20; ++i) {
     const auto n = client.call(fields(), "b");
     net.run_for(300ms);
@@ -343,7 +343,7 @@
   bus.tell({member(1, "leaving")}), bus.tell({member(2, "leaving")});
   net.run_for(3s);
   EXPECT_EQ(node->roster().last(), 3U);
-  EXPECT_EQ(node->core().list().find(WorkerId{*node->roster().number_of("s-2")})->state,
+  EXPECT_EQ(node->core().list().find(WorkerId{*node->roster().worker_id_of("s-2")})->state,
             WorkerState::kDraining);
 }
 
@@ -382,7 +382,7 @@
   for (int i = 0; i < 30; ++i) client.call(fields(), "b"), net.run_for(20ms);
   bus.tell_whole({member(2), member(3)});
   net.run_for(200ms);
-  EXPECT_FALSE(node->roster().number_of("s-1"));
+  EXPECT_FALSE(node->roster().worker_id_of("s-1"));
   const std::size_t calls = invoker(1).calls().size(), orders = invoker(1).orders();
   for (int i = 0; i < 50; ++i) client.call(fields(), "b"), net.run_for(50ms);
   EXPECT_EQ(invoker(1).calls().size(), calls);
@@ -401,7 +401,7 @@
   bus.tell({member(2, "left")});
   net.run_for(5s);
   EXPECT_EQ(node->roster().last(), 4U);
-  EXPECT_FALSE(node->roster().number_of("s-2"));
+  EXPECT_FALSE(node->roster().worker_id_of("s-2"));
 }
 
 // The known events lack one that reports a drain: later ones must wait for the bus.
@@ -580,9 +580,9 @@
     EXPECT_EQ(s.open, 0U);
     EXPECT_EQ(s.orders, 0U);
     return std::array<std::size_t, 7>{s.names,
-                                      s.ports,
+                                      s.worker_links,
                                       s.members,
-                                      s.alarms,
+                                      s.pending_timers,
                                       node->id_count(),
                                       node->roster().names(),
                                       node->open_body_bytes()};
@@ -593,12 +593,12 @@
 
 TEST_F(NodeTest, BoundsFunctionNamesUnderBurst) {
   controller::Core::Options options;
-  options.most_names = 100;
+  options.max_function_names = 100;
   struct Events : controller::CoreEvents {
-    void on_ended(const controller::Ended&) override {}
+    void on_call_finished(const controller::CallSummary&) override {}
     void on_log(const std::string&) override {}
     void on_oddity(const std::string&) override {}
-    void on_tell(std::optional<std::uint32_t>, std::span<const std::byte>) override {}
+    void on_send_to_peer(std::optional<std::uint32_t>, std::span<const std::byte>) override {}
   } events;
   controller::Core core(net, std::make_shared<config::Settings>(parsed(config()).settings), events, options);
   for (int i = 0; i < 450; ++i) {
--- a/tests/node/outage_test.cpp
+++ b/tests/node/outage_test.cpp
@@ -44,7 +44,7 @@
   sim::NetworkOptions network_options(std::uint64_t seed) {
     sim::NetworkOptions options;
     options.seed = seed;
-    options.most_piece = 300;  // splits events
+    options.max_segment_bytes = 300;  // splits events
     return options;
   }
   sim::Network net{network_options(1)};
@@ -275,10 +275,10 @@
 TEST_F(Outage, IncompleteReplayIsNotCurrent) {
   start();
   traffic(2s);
-  const auto current = [&] { return node->core().module().list_holds(net.now()); };
+  const auto current = [&] { return node->core().module().list_is_valid(net.now()); };
   EXPECT_TRUE(current());
   bus.tell_as_it_is("noise");
-  ASSERT_TRUE(net.run_until([&] { return node->roster().rebuilding(); }));
+  ASSERT_TRUE(net.run_until([&] { return node->roster().replaying(); }));
   PlatformBus other(net, kOtherBus);  // has only the first event
   ASSERT_TRUE(other.start());
   other.tell({});
@@ -286,11 +286,11 @@
   moved["bus"] = kOtherBus.text();
   node->reload(moved.dump());
   net.run_for(5s);
-  ASSERT_TRUE(node->roster().rebuilding());
+  ASSERT_TRUE(node->roster().replaying());
   EXPECT_FALSE(current());
   other.tell({});
   net.run_for(1500ms);
-  EXPECT_FALSE(node->roster().rebuilding());
+  EXPECT_FALSE(node->roster().replaying());
   EXPECT_TRUE(current());
 }
 
@@ -374,7 +374,7 @@
   for (int round = 0; round < 8; ++round) {
     const auto form = static_cast<OutageKind>(round % 4);
     begin(form);
-    net.wall_shift_ms += round % 2 == 0 ? 3'600'000 : -7'200'000;
+    net.wall_clock_offset_ms += round % 2 == 0 ? 3'600'000 : -7'200'000;
     traffic(round % 2 == 0 ? 1s : 7s);
     const int worker = round / 2;
     if (round % 2 == 1) drain(worker);
