--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -105,11 +105,12 @@
   set_list_current_until(host_.now());  // the known events are complete up to the start
   if (!front_.listen(config_.listen)) return false;
   feed_ = std::make_unique<platform::EventSubscriber>(
-      host_, config_.bus, roster_.last(), platform::EventSubscriber::Options{},
+      host_, config_.bus, invoker_list_.last(), platform::EventSubscriber::Options{},
       [this](const platform::Event& event) { return apply_event(event.id, event.data); },
       [this](const std::string& reason) { report_anomaly("event bus: " + reason); });
   feed_->on_current_until([this](Time at) { set_list_current_until(at); });
-  core_.on_worker_list_gap = [] {};  // events are numbered, so apply_event() detects gaps before the core could
+  // Events are numbered, so apply_event() detects gaps before the core could.
+  core_.on_worker_list_gap = [] {};
   next_second_at_ = host_.now() + std::chrono::seconds(1);
   second_timer_->start(std::chrono::seconds(1));
   return true;
@@ -119,24 +120,24 @@
 
 bool Node::apply_event(std::uint64_t number, std::string_view data) {
   using Verdict = platform::InvokerList::Verdict;
-  platform::InvokerList::ApplyResult taken = roster_.take(number, data);
-  if (taken.verdict == Verdict::kGap || taken.verdict == Verdict::kBad) {
+  platform::InvokerList::ApplyResult result = invoker_list_.take(number, data);
+  if (result.verdict == Verdict::kGap || result.verdict == Verdict::kBad) {
     const bool repeated = std::exchange(last_failed_event_, number) == number;
     report_anomaly("event bus: event " + std::to_string(number) + ": " +
-                   (taken.verdict == Verdict::kGap ? "an earlier event is missing" : taken.why) +
+                   (result.verdict == Verdict::kGap ? "an earlier event is missing" : result.why) +
                    (repeated ? "; requesting all events" : "; requesting it again"));
     // The event may report a draining worker, so it must not be skipped.
     if (repeated && feed_) {
-      roster_.start_replay(number);
+      invoker_list_.start_replay(number);
       feed_->resume_from(0);
     }
     return false;
   }
-  if (!taken.why.empty()) report_anomaly("event bus: an event is partly unreadable: " + taken.why);
-  if (taken.verdict != Verdict::kApplied) return true;
-  log_list_changes(number, taken.changes);
-  taken.update.from = core_.list().version();
-  core_.apply_worker_list(taken.update);
+  if (!result.why.empty()) report_anomaly("event bus: an event is partly unreadable: " + result.why);
+  if (result.verdict != Verdict::kApplied) return true;
+  log_list_changes(number, result.changes);
+  result.update.from = core_.list().version();
+  core_.apply_worker_list(result.update);
   return true;
 }
 
@@ -144,7 +145,7 @@
 void Node::log_list_changes(std::uint64_t event, const std::vector<platform::InvokerList::Change>& changes) {
   if (changes.empty()) return;
   std::ostringstream line;
-  line << "list: event " << event << " changes " << changes.size() << " of " << roster_.names()
+  line << "list: event " << event << " changes " << changes.size() << " of " << invoker_list_.names()
        << " workers:";
   std::size_t logged = 0;
   for (const platform::InvokerList::Change& change : changes) {
@@ -161,7 +162,7 @@
 
 // During a replay of all events the current list still lacks the event that made the replay necessary.
 void Node::set_list_current_until(Time at) {
-  if (roster_.replaying() && at > list_current_until_) return;
+  if (invoker_list_.replaying() && at > list_current_until_) return;
   list_current_until_ = at;
   core_.list_current_until(at);
 }
@@ -176,11 +177,11 @@
   if (lost && !std::exchange(discovery_lost_, true)) {
     last_heard_before_loss_ = last_heard;
     log_line_(Severity::kWarn, "discovery: no data for " + ms(now - last_heard) +
-                                   "; keeping the list as of event " + std::to_string(roster_.last()));
+                                   "; keeping the list as of event " + std::to_string(invoker_list_.last()));
   } else if (!lost && std::exchange(discovery_lost_, false)) {
     log_line_(Severity::kInfo, "discovery: data received again after " +
                                    ms(last_heard - last_heard_before_loss_) + "; the list is as of event " +
-                                   std::to_string(roster_.last()));
+                                   std::to_string(invoker_list_.last()));
   }
   const bool needed = !core_.module().list_is_valid(now);
   if (needed == std::exchange(leases_needed_, needed)) return;
@@ -197,8 +198,8 @@
 bool Node::apply_known_events(const std::vector<KnownEvent>& known) {
   bool complete = true;
   for (const KnownEvent& event : known)
-    if (!(complete = !roster_.replaying() && apply_event(event.number, event.data))) break;
-  if (feed_ && !roster_.replaying()) feed_->skip_to(roster_.last());
+    if (!(complete = !invoker_list_.replaying() && apply_event(event.number, event.data))) break;
+  if (feed_ && !invoker_list_.replaying()) feed_->skip_to(invoker_list_.last());
   return complete;
 }
 
@@ -379,12 +380,10 @@
   std::ostringstream line;
   line << "stats taken=" << counters.taken << " served=" << counters.served << " refused=" << counters.refused
        << " failed=" << counters.failed << " abandoned=" << counters.abandoned
-       << " turned_away=" << counters.rejected
-       << " attempts=" << counters.attempts
+       << " turned_away=" << counters.rejected << " attempts=" << counters.attempts
        << " holds=" << counters.holds << " probes=" << counters.probes << " open=" << sizes.open
        << " clients=" << front_.connections() << " to_invokers=" << budget_.open << " names=" << sizes.names
-       << " members=" << sizes.members << " alarms=" << sizes.pending_timers
-       << " attempts_ended=";
+       << " members=" << sizes.members << " alarms=" << sizes.pending_timers << " attempts_ended=";
   for (std::size_t i = 0; i < counters.ended.size(); ++i)
     line << (i ? "," : "") << controller::text_of(static_cast<Outcome>(i)) << ':' << counters.ended[i];
   line << " calls_ended=";
@@ -399,7 +398,7 @@
     line << (first ? "" : ",") << reason << ':' << count;
     first = false;
   }
-  line << " list_event=" << roster_.last() << " discovery_heard_ms_ago="
+  line << " list_event=" << invoker_list_.last() << " discovery_heard_ms_ago="
        << std::chrono::duration_cast<std::chrono::milliseconds>(host_.now() - feed_->last_line_at()).count();
   const LeaseCounters& leases = core_.module().lease_counters();
   line << " leases=asked:" << leases.asked << ",ready:" << leases.ready << ",refused:" << leases.refused
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -41,7 +41,7 @@
   void drain(std::function<void()> done);
 
   controller::Core& core() { return core_; }
-  const platform::InvokerList& roster() const { return roster_; }
+  const platform::InvokerList& invoker_list() const { return invoker_list_; }
   const platform::EventSubscriber& feed() const { return *feed_; }
   io::Address address() const { return front_.address(); }
   std::size_t clients() const { return front_.connections(); }
@@ -87,7 +87,7 @@
   std::shared_ptr<const config::Settings> settings_;
   platform::LinkOptions link_options_;
   platform::ConnectionBudget budget_;
-  platform::InvokerList roster_;
+  platform::InvokerList invoker_list_;
   controller::Core core_;
   front::Server front_;
   std::unique_ptr<platform::EventSubscriber> feed_;
@@ -107,7 +107,7 @@
   int seconds_running_ = 0;
   std::uint64_t last_failed_event_ = 0;                  // the last event that could not be applied
   std::map<std::string, std::uint64_t> anomaly_counts_;  // by kind; logged once each and counted in the stats
-  std::map<std::string, std::uint64_t> calls_by_end_;    // by controller::Ended::end
+  std::map<std::string, std::uint64_t> calls_by_end_;    // by controller::CallSummary::end
   std::size_t repeated_calls_ = 0;                       // since the last stats line
   bool discovery_lost_ = false;                          // as last logged
   Time last_heard_before_loss_{};
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -197,7 +197,7 @@
     return c.replies().find(number)->second.kind;
   }
   std::optional<WorkerState> state(int i) const {
-    const auto number = node->roster().worker_id_of("s-" + std::to_string(i));
+    const auto number = node->invoker_list().worker_id_of("s-" + std::to_string(i));
     const members::Member* m = number ? node->core().list().find(WorkerId{*number}) : nullptr;
     return m ? std::optional(m->state) : std::nullopt;
   }
@@ -326,11 +326,11 @@
 TEST_F(NodeTest, GivesNewNumberToInvokerAtReusedAddress) {
   PlatformClient client(net, kListen);
   for (int i = 0; i < 10; ++i) client.call(fields(), "b"), net.run_for(50ms);
-  const auto before = *node->roster().worker_id_of("s-1");
+  const auto before = *node->invoker_list().worker_id_of("s-1");
   bus.tell({member(1, "left"), {"s-9", invoker_at(1), "active", 1, 0}});
   net.run_for(100ms);
-  EXPECT_FALSE(node->roster().worker_id_of("s-1"));
-  EXPECT_NE(*node->roster().worker_id_of("s-9"), before);
+  EXPECT_FALSE(node->invoker_list().worker_id_of("s-1"));
+  EXPECT_NE(*node->invoker_list().worker_id_of("s-9"), before);
   for (int i = 0; i < 20; ++i) {
     const auto n = client.call(fields(), "b");
     net.run_for(300ms);
@@ -342,8 +342,8 @@
   bus.set_skip(2);
   bus.tell({member(1, "leaving")}), bus.tell({member(2, "leaving")});
   net.run_for(3s);
-  EXPECT_EQ(node->roster().last(), 3U);
-  EXPECT_EQ(node->core().list().find(WorkerId{*node->roster().worker_id_of("s-2")})->state,
+  EXPECT_EQ(node->invoker_list().last(), 3U);
+  EXPECT_EQ(node->core().list().find(WorkerId{*node->invoker_list().worker_id_of("s-2")})->state,
             WorkerState::kDraining);
 }
 
@@ -353,7 +353,7 @@
   bus.set_skip(2, true);
   bus.tell({member(1, "leaving")}), bus.tell({member(2, "leaving")});
   net.run_for(1s);
-  EXPECT_EQ(node->roster().last(), 3U);
+  EXPECT_EQ(node->invoker_list().last(), 3U);
   EXPECT_EQ(state(1), WorkerState::kDraining);
   EXPECT_EQ(state(2), WorkerState::kDraining);
   EXPECT_EQ(state(3), WorkerState::kReady);
@@ -362,7 +362,7 @@
 TEST_F(NodeTest, AppliesEventsAfterUnreadableOne) {
   bus.tell_as_it_is("{\"topology\":"), bus.tell({member(1, "leaving")});
   net.run_for(1s);
-  EXPECT_EQ(node->roster().last(), 3U);
+  EXPECT_EQ(node->invoker_list().last(), 3U);
   EXPECT_EQ(state(1), WorkerState::kDraining);
   EXPECT_EQ(state(2), WorkerState::kReady);
 }
@@ -373,7 +373,7 @@
   bus.spoil(2, standin::platform_event(2, false, {member(1, "leaving")}));
   net.run_for(1s);
   EXPECT_EQ(bus.last_asked_from(), 1U);
-  EXPECT_EQ(node->roster().last(), 2U);
+  EXPECT_EQ(node->invoker_list().last(), 2U);
   EXPECT_EQ(state(1), WorkerState::kDraining);
 }
 
@@ -382,7 +382,7 @@
   for (int i = 0; i < 30; ++i) client.call(fields(), "b"), net.run_for(20ms);
   bus.tell_whole({member(2), member(3)});
   net.run_for(200ms);
-  EXPECT_FALSE(node->roster().worker_id_of("s-1"));
+  EXPECT_FALSE(node->invoker_list().worker_id_of("s-1"));
   const std::size_t calls = invoker(1).calls().size(), orders = invoker(1).orders();
   for (int i = 0; i < 50; ++i) client.call(fields(), "b"), net.run_for(50ms);
   EXPECT_EQ(invoker(1).calls().size(), calls);
@@ -400,8 +400,8 @@
   bus.set_silent(false);
   bus.tell({member(2, "left")});
   net.run_for(5s);
-  EXPECT_EQ(node->roster().last(), 4U);
-  EXPECT_FALSE(node->roster().worker_id_of("s-2"));
+  EXPECT_EQ(node->invoker_list().last(), 4U);
+  EXPECT_FALSE(node->invoker_list().worker_id_of("s-2"));
 }
 
 // The known events lack one that reports a drain: later ones must wait for the bus.
@@ -412,10 +412,10 @@
   json with_gap = json::parse(bus.known());
   with_gap["batch"].erase(1);
   node->reload(config(with_gap.dump()).dump());
-  EXPECT_EQ(node->roster().last(), 1U);
+  EXPECT_EQ(node->invoker_list().last(), 1U);
   bus.set_silent(false);
   net.run_for(3s);
-  EXPECT_EQ(node->roster().last(), 3U);
+  EXPECT_EQ(node->invoker_list().last(), 3U);
   EXPECT_EQ(state(1), WorkerState::kDraining);
 }
 
@@ -516,7 +516,7 @@
   }
   net.run_for(2s);
   for (const auto n : numbers) EXPECT_EQ(kind(client, n), "served") << n;
-  EXPECT_EQ(node->roster().last(), 7U);
+  EXPECT_EQ(node->invoker_list().last(), 7U);
 }
 
 TEST_F(NodeTest, DrainServesLateCallsAndAnswersAll) {
@@ -584,7 +584,7 @@
                                       s.members,
                                       s.pending_timers,
                                       node->id_count(),
-                                      node->roster().names(),
+                                      node->invoker_list().names(),
                                       node->open_body_bytes()};
   };
   const auto few = play(5), many = play(50);
--- a/tests/node/outage_test.cpp
+++ b/tests/node/outage_test.cpp
@@ -168,7 +168,7 @@
   net.run_for(2s);
   EXPECT_EQ(late_sends(), 0U);
   EXPECT_TRUE(logged("leases: the list is current again"));
-  EXPECT_EQ(node->roster().last(), 5U);
+  EXPECT_EQ(node->invoker_list().last(), 5U);
 }
 
 // Calls are too rare to renew leases.
@@ -223,7 +223,7 @@
   other.tell({{name(1), address(1), "leaving", 1, 0}});
   traffic(3s);
   net.run_for(2s);
-  EXPECT_EQ(node->roster().last(), 3U);
+  EXPECT_EQ(node->invoker_list().last(), 3U);
   EXPECT_EQ(late_sends(), 0U);
   EXPECT_GE(served(), 0.97);
 }
@@ -266,7 +266,7 @@
   end(OutageKind::kRefused);
   traffic(3s, 5ms);
   net.run_for(2s);
-  EXPECT_EQ(node->roster().last(), bus.tell({}) - 1);
+  EXPECT_EQ(node->invoker_list().last(), bus.tell({}) - 1);
   EXPECT_EQ(late_sends(), 0U);
 }
 
@@ -278,7 +278,7 @@
   const auto current = [&] { return node->core().module().list_is_valid(net.now()); };
   EXPECT_TRUE(current());
   bus.tell_as_it_is("noise");
-  ASSERT_TRUE(net.run_until([&] { return node->roster().replaying(); }));
+  ASSERT_TRUE(net.run_until([&] { return node->invoker_list().replaying(); }));
   PlatformBus other(net, kOtherBus);  // has only the first event
   ASSERT_TRUE(other.start());
   other.tell({});
@@ -286,11 +286,11 @@
   moved["bus"] = kOtherBus.text();
   node->reload(moved.dump());
   net.run_for(5s);
-  ASSERT_TRUE(node->roster().replaying());
+  ASSERT_TRUE(node->invoker_list().replaying());
   EXPECT_FALSE(current());
   other.tell({});
   net.run_for(1500ms);
-  EXPECT_FALSE(node->roster().replaying());
+  EXPECT_FALSE(node->invoker_list().replaying());
   EXPECT_TRUE(current());
 }
 
--- a/tests/node/race_test.cpp
+++ b/tests/node/race_test.cpp
@@ -334,7 +334,7 @@
   node->reload(doc.dump());
   node->reload(moved.dump());
   other.tell({member("s-1", first.address(), "leaving")});
-  ASSERT_TRUE(run_until([&] { return node->roster().last() == 2; }));
+  ASSERT_TRUE(run_until([&] { return node->invoker_list().last() == 2; }));
   run_for(250ms);  // the grace
   const std::size_t calls = first.calls().size();
   client.write(call(2));
@@ -400,13 +400,13 @@
 // sent there.
 TEST_F(DelayedConnect, DoesNotSendToWorkerThatBeganDraining) {
   bus.tell({member("s-1", invoker.address(), "leaving")});
-  ASSERT_TRUE(run_until([&] { return node->roster().last() == 2; }));
+  ASSERT_TRUE(run_until([&] { return node->invoker_list().last() == 2; }));
   EXPECT_TRUE(frames_received().empty());
 }
 
 TEST_F(DelayedConnect, DoesNotSendToWorkerMissingFromFullList) {
   bus.tell_whole({});
-  ASSERT_TRUE(run_until([&] { return node->roster().last() == 2; }));
+  ASSERT_TRUE(run_until([&] { return node->invoker_list().last() == 2; }));
   EXPECT_TRUE(frames_received().empty());
 }
 
@@ -648,7 +648,7 @@
   bus.mute_next(1);
   const Time began = loop.now();
   bus.tell({member("s-1", first.address(), "leaving")});
-  ASSERT_TRUE(run_until([&] { return node->roster().last() == 2; }));
+  ASSERT_TRUE(run_until([&] { return node->invoker_list().last() == 2; }));
   EXPECT_EQ(bus.asked(), 3U);
   EXPECT_LT(loop.now() - began, Duration(4s));
 }
