--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -1,8 +1,16 @@
 // All decisions of laureltide. Interface: include/laureltide/dispatcher.h. Design: docs/design.md.
 //
 // The ordinary path is that of "Optimal Content Replication and Request Matching in Large Caching Systems":
-// a greedy matching of functions' flow to workers' flow and slots sets targets (sections IV, V), and each
-// request goes to a uniformly random warm worker with room (Random Available Server).
+// a greedy matching of the functions' load to the workers' free lanes and slots sets the targets (sections IV
+// and V), and each request goes to a uniformly random worker that has an instance and room (Random Available
+// Server).
+//
+// The rules that comments refer to by number:
+//   1  each request gets exactly one final answer, by its deadline;
+//   2  a request that may have run is repeated only where its semantics allow that;
+//   3  a worker that drains or is gone gets nothing new;
+//   4  a worker that starts cold gets no more than its share of load;
+//   5  orders to load instances stay within a limit that grows with the requests.
 
 #include <algorithm>
 #include <array>
@@ -21,55 +29,65 @@
 
 using namespace std::chrono_literals;
 
-// ---- Tuned values ---------------------------------------------------------------------------------
-
-constexpr Duration kReplanEvery = 2s;      // between greedy runs (design page)
-constexpr Duration kFirstReplan = 400ms;   // a new life plans as soon as a few requests told of demand
-constexpr double kJitter = 0.2;            // share; keeps front ends from acting in step
-constexpr double kFlowHeadroom = 1.5;      // worker flow over mean busy lanes (design page)
-constexpr Duration kDemandMemory = 5s;     // decay of demand: some replans long, shorter than a spell
-constexpr Duration kLongestMemory = 20s;   // of a front end with few calls: about as long as a spell
-constexpr double kCallsToJudge = 60;       // calls remembered before the memory may be shorter
-constexpr double kMany = 8;                // times own calls in all, from which own calls tell little
-constexpr double kOrdersShared = 2;        // orders for one target and interval by all front ends together
-constexpr double kDoubt = 10;              // calls that a new life counts as not yet seen
-constexpr std::size_t kPeersTold = 4;      // a replan, at random: linear in their number
-constexpr int kReplansToDrop = 4;          // "several" unpaired replans before an own copy is dropped
-constexpr double kCallsToHold = 2;         // calls in a keep-alive below which idling out is cheaper
-constexpr double kRenewAt = 0.6;           // share of the keep-alive after which a hold is renewed
-constexpr double kPlannedRation = 0.7;     // share of the order ration that planned orders may use
-constexpr Duration kOrderLost = 4s;        // an order unanswered for so long no longer holds others back
-constexpr Duration kFullRest = 150ms;      // a full worker sheds its excess in about a service time
-constexpr Duration kLongestRest = 4s;      // of a worker after a bad answer, however few the own calls
-constexpr double kRestCalls = 0.2;         // own calls to the worker that a rest is worth
-constexpr Duration kNoMemoryRest = 2s;     // memory frees slower: when other copies idle out
-constexpr Duration kSweepEvery = 20ms;     // looks at held requests and silent workers
-constexpr Duration kSilence = 500ms;       // beyond the usual answer time, before a worker is asked
-constexpr Duration kAskWait = 400ms;       // a pausing worker answers in this time, a dead one does not
-constexpr Duration kAskSuspectEvery = 1s;  // how often a silent worker is asked for a sign of life
-constexpr double kRecent = 0.15;           // weight of a new sample in a worker's slowness
-constexpr double kRunRecent = 0.05;        // least weight of a new sample in mean run times
-constexpr double kUsualCounts = 3;         // samples for which the class's mean counts in a function's
-constexpr double kSlow = 2.5;              // answer time over the usual, from which others come first
-constexpr double kErring = 0.3;            // share of errors in answers, from which others come first
-constexpr double kErrorsDoubted = 3;       // answers that a share of errors is not yet believed from
-constexpr double kColdLimit = 0.6;         // part of the fall multiple ever used: others are unseen
-constexpr double kColdLimitOfMany = 0.4;   // single calls of many come together by chance
-constexpr double kLateAt = 0.5;            // share of the aim after which an answer tells of a queue
-constexpr double kCutLate = 0.9;           // a late answer's cut of the limit: some are late by nature
-constexpr Duration kCutEvery = 100ms;      // one cut for answers that tell of the same queue
-constexpr double kWaitShare = 0.4;         // share of the aim for which a request waits here for room
-constexpr double kBackAfter = 0.1;         // share of the aim after which a refused client may come again
-constexpr double kShareBurst = 1.0;        // seconds of its share that a tenant may ask at once
-constexpr double kUnheardPart = 0.8;       // share of own traffic that is surely within shares, unheard
-constexpr Duration kPeerStands = 7s;       // some replans: a peer that stays silent has died
-constexpr Duration kForgetAfter = 60s;     // longer than any client waits and any copy idles
-constexpr Duration kHoldBack = 40ms;       // a request that nothing can serve is answered this early
-constexpr int kMostInstances = 16;         // that one order may name
-
-constexpr TimerToken kReplanToken = 1, kSweepToken = 2, kListToken = 3, kDeadlineTokens = 1ULL << 32;
-
-std::uint64_t mix(std::uint64_t x) {
+// ---- Constants ------------------------------------------------------------------------------------
+
+// Planning and demand.
+constexpr Duration kReplanInterval = 2s;       // between runs of the greedy matching (docs/design.md)
+constexpr Duration kFirstReplanDelay = 400ms;  // a new process plans as soon as it has seen a few requests
+constexpr double kJitterShare = 0.2;           // of a delay, either way; keeps front ends from acting in step
+constexpr double kLaneHeadroom = 1.5;          // planned lanes for each mean busy lane (docs/design.md)
+constexpr Duration kMinDecayTime = 5s;      // of demand: several replans, yet shorter than a phase of traffic
+constexpr Duration kMaxDecayTime = 20s;     // for front ends with few requests: about a phase of traffic
+constexpr double kRequestsToEstimate = 60;  // the decay time is long enough to remember this many, if it can
+// Requests of all front ends for each own one, above which the own requests show little of the whole demand.
+constexpr double kManyFrontEnds = 8;
+constexpr double kOrdersPerTarget = 2;  // planned orders for a target and replan, by all front ends together
+constexpr double kUnseenRequests = 10;  // that a new process assumes besides those that it has seen
+constexpr std::size_t kPeersPerReplan = 4;  // peers notified, at random: messages stay linear in front ends
+constexpr int kReplansToRelease = 4;        // replans without a target before a loaded instance is released
+constexpr double kMinRequestsPerKeepAlive = 2;  // with fewer, letting the instance idle out is cheaper
+constexpr double kRenewAtShare = 0.6;           // of the keep-alive, after which a hold is renewed
+constexpr double kPlannedOrderShare = 0.7;      // of the order limit that planned orders may use
+constexpr Duration kOrderLostAfter = 4s;  // an unanswered order no longer prevents others for the same target
+
+// Cooldowns and unresponsive workers.
+constexpr Duration kFullCooldown = 150ms;       // a full worker sheds its excess in about a service time
+constexpr Duration kMaxCooldown = 4s;           // after a bad answer, however few the own requests
+constexpr double kCooldownRequests = 0.2;       // own requests that the worker would get during a cooldown
+constexpr Duration kNoMemoryCooldown = 2s;      // memory frees slower: when other instances idle out
+constexpr Duration kSweepInterval = 20ms;       // between checks of waiting requests and unresponsive workers
+constexpr Duration kUnresponsiveAfter = 500ms;  // beyond the usual answer time, before a worker is probed
+constexpr Duration kProbeTimeout = 400ms;  // a worker that pauses answers in this time, a dead one does not
+constexpr Duration kSuspectProbeInterval = 1s;  // between probes of a suspect worker
+
+// Estimates from answers.
+constexpr double kSlownessSampleWeight = 0.15;
+constexpr double kMinRunTimeSampleWeight = 0.05;
+constexpr double kPriorSamples = 3;  // that the class's mean run time counts as in a function's mean
+constexpr double kSlowFrom = 2.5;    // answer time over the usual, from which other workers are preferred
+constexpr double kErrorShareLimit = 0.3;  // errors among answers, from which other workers are preferred
+constexpr double kPriorAnswers = 3;       // answers without error that are assumed besides those counted
+
+// Cold workers: the part of the overload multiple that is ever used, since other front ends are unseen.
+constexpr double kColdShare = 0.6;
+constexpr double kColdShareOfMany = 0.4;  // single requests of many front ends coincide by chance
+
+// Late answers, waiting, refusals and tenants.
+constexpr double kLateAtShare = 0.5;    // of the target, after which an answer indicates a queue
+constexpr double kLimitDecrease = 0.9;  // factor for a late answer: some are late without any queue
+constexpr Duration kLimitDecreaseInterval = 100ms;  // one decrease for answers delayed by the same queue
+constexpr double kMaxWaitShare = 0.4;               // of the target, for which a request waits here for room
+constexpr double kRetryAfterShare = 0.1;            // of the target, after which a refused client may retry
+constexpr double kTenantBurstSeconds = 1.0;         // of a tenant's request rate, which it may send at once
+constexpr double kAssumedWithinShares = 0.8;  // part of own traffic taken as within shares, without peers
+constexpr Duration kPeerExpiry = 7s;          // a few replans: a peer that reports nothing has died
+constexpr Duration kForgetAfter = 60s;        // longer than any client waits and any idle instance is kept
+constexpr Duration kAnswerMargin = 40ms;  // before the deadline, when a request that nothing can serve ends
+constexpr int kMaxInstancesPerOrder = 16;
+
+constexpr TimerToken kReplanTimer = 1, kSweepTimer = 2, kSubscribeTimer = 3, kDeadlineTimers = 1ULL << 32;
+
+std::uint64_t mix_bits(std::uint64_t x) {
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
@@ -79,7 +97,7 @@
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
-  std::uint64_t next() { return mix(state_ += 0x9e3779b97f4a7c15ULL); }
+  std::uint64_t next() { return mix_bits(state_ += 0x9e3779b97f4a7c15ULL); }
   double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
   std::size_t below(std::size_t n) { return static_cast<std::size_t>(unit() * static_cast<double>(n)); }
 
@@ -91,112 +109,115 @@
 Duration from_seconds(double s) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(s));
 }
-double sane(double value, double otherwise) { return std::isfinite(value) && value >= 0 ? value : otherwise; }
+double valid_or(double value, double fallback) {
+  return std::isfinite(value) && value >= 0 ? value : fallback;
+}
 
-// A mean that starts from what is usual elsewhere and is moved by few samples only in part.
+// A running mean. It starts from a prior, which counts as `kPriorSamples`, so a few samples move it in part.
 struct Mean {
   double value = -1, samples = 0;
-  void add(double sample, double usual) {
-    if (value < 0) value = usual > 0 ? usual : sample, samples = usual > 0 ? kUsualCounts : 0;
-    samples = std::min(samples + 1, 1 / kRunRecent);
+  void add(double sample, double prior) {
+    if (value < 0) value = prior > 0 ? prior : sample, samples = prior > 0 ? kPriorSamples : 0;
+    samples = std::min(samples + 1, 1 / kMinRunTimeSampleWeight);
     value += (sample - value) / samples;
   }
 };
 
-// The order in which front ends that know nothing of each other agree to try workers for a function.
-std::uint64_t affinity(FunctionId function, WorkerId worker) {
-  return mix(static_cast<std::uint64_t>(function) ^ mix(static_cast<std::uint64_t>(worker) + 1));
+// Rendezvous hashing: front ends that know nothing of each other try workers for a function in the same
+// order.
+std::uint64_t rendezvous_rank(FunctionId function, WorkerId worker) {
+  return mix_bits(static_cast<std::uint64_t>(function) ^ mix_bits(static_cast<std::uint64_t>(worker) + 1));
 }
 
-// A sum that forgets: events a second over the last few `kDemandMemory`, unbiased from the first on.
+// Events per second as an exponentially decaying sum, without bias from its start on.
 struct Rate {
-  double mass = 0;
-  Time at{}, since{};
-  double memory = seconds(kDemandMemory);
-  void settle(Time now) {
-    mass *= std::exp(-seconds(now - at) / memory);
-    at = now;
+  double decayed_sum = 0;
+  Time updated_at{}, started_at{};
+  double decay_s = seconds(kMinDecayTime);
+  void decay_to(Time now) {
+    decayed_sum *= std::exp(-seconds(now - updated_at) / decay_s);
+    updated_at = now;
   }
   void add(Time now, double amount) {
-    settle(now);
-    mass += amount;
+    decay_to(now);
+    decayed_sum += amount;
   }
   double per_second(Time now) {
-    settle(now);
-    const double span = memory * (1 - std::exp(-seconds(now - since) / memory));
-    return mass / std::max(span, 0.5);
+    decay_to(now);
+    const double span_s = decay_s * (1 - std::exp(-seconds(now - started_at) / decay_s));
+    return decayed_sum / std::max(span_s, 0.5);
   }
 };
 
-// What is believed of one function at one worker.
-struct Pair {
-  int copies = 0;   // believed to stand; 0: none or unknown
-  Time seen{};      // last sign that they stand: they idle out from here
-  int ordered = 0;  // count of the order that is out, if any
+// What is estimated of one function at one worker.
+struct Placement {
+  int known_instances = 0;    // 0: none, or unknown
+  Time last_seen{};           // last evidence of the instances; their keep-alive counts from here
+  int ordered_instances = 0;  // in the order that is in flight, 0 without one
   Time ordered_at{};
-  int in_flight = 0;     // own calls out
-  int target = 0;        // copies wanted by the plan
-  int order_waits = 0;   // count of an order that waits for a lease on the worker
-  bool current = false;  // it was a target of the plan before
-  int unpaired = 0;      // replans since the plan last wanted one
-  bool placed = false;   // an own order brought a copy
-  Time full_until{};     // no lane, or no memory for another copy
+  int in_flight = 0;         // own requests
+  int target_instances = 0;  // of the latest plan
+  int deferred_order = 0;    // instances of an order that waits for a lease on the worker, 0 without one
+  bool was_target = false;   // in the plan before
+  int replans_without_target = 0;  // since the latest plan with a target here
+  bool loaded_by_order = false;    // an own order brought an instance
+  Time cooldown_until{};           // after a refusal, or a lack of memory for another instance
 };
 
 struct Function {
   FunctionId id{};
   ClassIndex request_class = 0;
   double lanes = 1, memory_mb = 0;
-  Mean run_s, work_s;  // as answers took, and as hints say
-  Rate calls;
-  Time needed{};    // the latest deadline of its calls
-  double flow = 0;  // left to match, in busy lanes, during a plan
-  std::map<WorkerId, Pair> pairs;
+  Mean run_time_s, work_s;  // from answer times, and from the hints of requests
+  Rate request_rate;
+  Time latest_deadline{};     // of its requests
+  double unplaced_lanes = 0;  // during a replan: busy lanes that are not assigned to a worker yet
+  std::map<WorkerId, Placement> placements;
 };
 
 struct Worker {
   WorkerEntry entry;
-  bool known = false;  // its list entry is current
-  int in_flight = 0;
-  Time heard{};          // last answer of any kind
-  bool suspect = false;  // silent, or its connections fail
+  bool listed = false;   // the list held has its entry
+  int in_flight = 0;     // own requests
+  Time last_answer{};    // of any kind
+  bool suspect = false;  // unresponsive, or its connections fail
   Time suspected_at{};
-  Time asked{};
+  Time probed_at{};
   std::optional<Time> cold_since;
-  double credit = 0;  // run time that may be sent while cold
-  Time credit_at{};
-  double slowness = 1;          // answer time over what the function usually takes
-  double erred = 0, ended = 0;  // errors, and all answers, of the last few seconds
-  Time ended_at{};
-  Time full_until{};
-  Time cut_at{};
-  double limit = 1e9;  // own calls in flight that it bears without a queue, learnt from answers
-  double flow = 0;     // during a plan
-  double slots = 0;
+  double cold_budget_s = 0;                      // run time that may be sent to it while it is cold
+  Time cold_budget_at{};                         // when the budget was last updated
+  double slowness = 1;                           // answer time over the function's usual one
+  double recent_errors = 0, recent_answers = 0;  // decaying counts; answers include errors
+  Time answers_counted_at{};
+  Time cooldown_until{};
+  Time limit_decreased_at{};
+  double in_flight_limit = 1e9;  // own requests that it takes without a queue, estimated from answer times
+  double free_lanes = 0;         // during a replan: lanes and slots that are not assigned yet
+  double free_slots = 0;
 };
 
-struct Share {
-  double left = 0;
-  Time at{};
+struct TokenBucket {
+  double tokens = 0;
+  Time updated_at{};
 };
 
-enum class Fate { kOut, kNeverRan, kMayHaveRun };
+enum class AttemptStatus { kInFlight, kNeverRan, kMayHaveRun };
 
 struct Attempt {
   WorkerId worker{};
-  Time sent{};
-  Fate fate = Fate::kOut;
-  bool warm = false;  // the copy was believed to stand
+  Time sent_at{};
+  AttemptStatus status = AttemptStatus::kInFlight;
+  bool expected_instance = false;  // the worker was estimated to have an instance
   bool cancelled = false;
 };
 
-struct Open {
+struct OpenRequest {
   Request request;
-  Time arrived{};
+  Time arrived_at{};
   std::vector<Attempt> attempts;
-  int out = 0;
+  int in_flight = 0;  // attempts
   bool answered = false, streaming = false;
-  bool over_share = false;
+  bool over_share = false;  // beyond its tenant's share
 };
 
 }  // namespace
@@ -209,18 +230,18 @@
   std::map<WorkerId, Worker> workers;
   WorkerLeases leases;
   std::map<FunctionId, Function> functions;
-  std::map<RequestId, Open> open;
+  std::map<RequestId, OpenRequest> open_requests;
   std::optional<std::uint64_t> list_version;  // of the list held
-  std::vector<Mean> class_run_s, class_work_s;
-  Rate served_weight;                 // own work served, in seconds of run time
-  std::deque<Time> orders, arrivals;  // within the ration's window
-  bool sweeping = false;
-  std::vector<Share> shares;  // by tenant
-  Rate requests;
-  std::map<std::uint32_t, std::pair<Time, double>> peers;  // requests a second, as told
-  double memory = seconds(kDemandMemory);
-  double crowd = std::max(1U, settings.replicas);  // calls of all front ends for each own one
-  double ready_count = 1;  // workers; falls no faster than what they served is forgotten
+  std::vector<Mean> class_run_time_s, class_work_s;
+  Rate served_run_time;                         // seconds of run time that workers served this front end
+  std::deque<Time> order_times, arrival_times;  // within the window of the order limit
+  bool sweep_scheduled = false;
+  std::vector<TokenBucket> tenant_buckets;
+  Rate request_rate;
+  std::map<std::uint32_t, std::pair<Time, double>> peer_rates;  // requests per second, with the report's time
+  double decay_s = seconds(kMinDecayTime);                      // of all rates
+  double traffic_ratio = std::max(1U, settings.replicas);       // requests of all front ends for each own one
+  double ready_workers = 1;  // falls no faster than the estimate of what they served decays
 
   State(Settings s, std::uint64_t seed, Time begin, ActionSink& out)
       : settings(std::move(s)),
@@ -229,108 +250,118 @@
         start(begin),
         sink(out),
         leases(settings.rules.drain_grace) {
-    class_run_s.resize(settings.classes.size()), class_work_s.resize(settings.classes.size());
-    requests.since = requests.at = served_weight.since = served_weight.at = begin;
-    for (const Tenant& t : settings.tenants) shares.push_back({t.quota_per_s * kShareBurst, begin});
-    sink.start_timer(jittered(kFirstReplan), kReplanToken);
+    class_run_time_s.resize(settings.classes.size()), class_work_s.resize(settings.classes.size());
+    request_rate.started_at = request_rate.updated_at = served_run_time.started_at =
+        served_run_time.updated_at = begin;
+    for (const Tenant& tenant : settings.tenants)
+      tenant_buckets.push_back({tenant.quota_per_s * kTenantBurstSeconds, begin});
+    sink.start_timer(jittered(kFirstReplanDelay), kReplanTimer);
     if (settings.list_needs_subscription) sink.subscribe(true);
   }
 
-  Duration jittered(Duration d) { return from_seconds(seconds(d) * (1 + kJitter * (2 * random.unit() - 1))); }
-  State& at(Time t) {
-    now = std::max(now, t);
+  Duration jittered(Duration d) {
+    return from_seconds(seconds(d) * (1 + kJitterShare * (2 * random.unit() - 1)));
+  }
+  State& at(Time time) {
+    now = std::max(now, time);
     return *this;
   }
-  const RequestClass& class_of(const Request& r) const { return settings.classes[r.request_class]; }
+  const RequestClass& class_of(const Request& request) const {
+    return settings.classes[request.request_class];
+  }
 
   // ---- Membership -------------------------------------------------------------------------------
 
   void update_list(const ListUpdate& update) {
-    if (update.scope == ListScope::kFailed) {  // the old list stands; ask again, not all at once
-      if (settings.list_needs_subscription) sink.start_timer(jittered(500ms), kListToken);
+    if (update.scope == ListScope::kFailed) {  // keep the old list and retry, with jitter
+      if (settings.list_needs_subscription) sink.start_timer(jittered(500ms), kSubscribeTimer);
       return;
     }
     if (update.scope == ListScope::kChanges && list_version && update.version <= *list_version) return;
     if (update.scope == ListScope::kFull && list_version && update.version < *list_version) return;
     list_version = update.version;
     if (update.scope != ListScope::kChanges)
-      for (auto& [id, worker] : workers) worker.known = false;
+      for (auto& [id, worker] : workers) worker.listed = false;
     for (const WorkerEntry& entry : update.entries) {
-      auto [it, fresh] = workers.try_emplace(entry.id);
+      auto [it, added] = workers.try_emplace(entry.id);
       Worker& worker = it->second;
-      const bool restarted = !fresh && entry.started && entry.started != worker.entry.started;
-      if (restarted) forget_worker(entry.id), worker.suspect = false;
-      if (restarted || (fresh && entry.started)) chill(worker, std::min(*entry.started, now));
-      if (fresh) worker.heard = now;
+      const bool restarted = !added && entry.started && entry.started != worker.entry.started;
+      if (restarted) clear_placements(entry.id), worker.suspect = false;
+      if (restarted || (added && entry.started)) mark_cold(worker, std::min(*entry.started, now));
+      if (added) worker.last_answer = now;
       worker.entry = entry;
-      worker.known = true;
+      worker.listed = true;
     }
     for (auto& [id, worker] : workers) {
-      if (!worker.known) worker.entry.state = WorkerState::kGone;
-      if (worker.entry.state == WorkerState::kGone) forget_worker(id);
+      if (!worker.listed) worker.entry.state = WorkerState::kGone;
+      if (worker.entry.state == WorkerState::kGone) clear_placements(id);
     }
     const auto n = std::count_if(workers.begin(), workers.end(), [&](auto& w) { return ready(w.second); });
-    ready_count = std::max(ready_count, static_cast<double>(n));
+    ready_workers = std::max(ready_workers, static_cast<double>(n));
   }
 
-  void list_freshness(const ListFreshness& freshness) {
-    const bool held = leases.list_is_valid(now);
+  void update_list_freshness(const ListFreshness& freshness) {
+    const bool was_valid = leases.list_is_valid(now);
     leases.set_list_current_until(freshness.current_until);
-    if (!held && leases.list_is_valid(now)) release_held();
+    if (!was_valid && leases.list_is_valid(now)) dispatch_waiting();
   }
 
-  // Rule 3, for the time at which something begins. Discovery that is out of reach may have told a drain.
+  // Rule 3, for the moment at which something new starts at the worker. While discovery is out of reach it
+  // may have announced a drain that this front end has not seen.
   bool may_start_work(WorkerId id) const {
     const auto it = workers.find(id);
     return it != workers.end() && ready(it->second) && leases.holds(id, now);
   }
 
-  // A place to plan for and to send to, though perhaps only when it has been asked for a lease.
+  // Whether to plan for the worker and to choose it, though it may have to be probed for a lease first.
   bool usable(WorkerId id) const {
-    return leases.holds(id, now) || (settings.bounds.probes && leases.may_be_asked(id, now));
+    return leases.holds(id, now) || (settings.bounds.probes && leases.may_be_probed(id, now));
   }
 
-  // The answer releases what waits. Where the settings allow no probes only traffic renews leases.
-  void ask_for_lease(WorkerId id) {
-    if (settings.bounds.probes && leases.ask(id, now)) sink.probe(id);
+  // The probe's answer releases what waits for the lease. Without probes only traffic renews leases.
+  void request_lease(WorkerId id) {
+    if (settings.bounds.probes && leases.start_probe(id, now)) sink.probe(id);
   }
 
-  void lease_answered(const ProbeResult& result) {
+  void on_lease_answer(const ProbeResult& result) {
     const WorkerId id = result.worker;
-    const Time sent = now - result.took;
-    const bool away = !leases.list_is_valid(now);
+    const Time sent_at = now - result.took;
+    const bool list_expired = !leases.list_is_valid(now);
     switch (result.outcome) {
-      case Outcome::kOk: came_back(id, leases.said_ready(id, sent)); break;
-      case Outcome::kError: leases.refused(id, sent, now); break;
+      case Outcome::kOk: reset_if_restarted(id, leases.probe_accepted(id, sent_at)); break;
+      case Outcome::kError: leases.probe_refused(id, sent_at, now); break;
       default:
-        leases.unanswered(id, now);
-        if (away && (result.outcome == Outcome::kConnectFailed || result.outcome == Outcome::kReset))
-          suspect(id, "question not delivered");
+        leases.probe_unanswered(id, now);
+        if (list_expired && (result.outcome == Outcome::kConnectFailed || result.outcome == Outcome::kReset))
+          mark_suspect(id, "probe not delivered");
     }
-    if (!away) return;
-    if (leases.holds(id, now)) place_waiting_orders(id);
-    release_held();
+    if (!list_expired) return;
+    if (leases.holds(id, now)) send_deferred_orders(id);
+    dispatch_waiting();
   }
 
-  // A worker that refused, or could not be reached, and takes new work again: with discovery out of reach
-  // nobody tells whether it is a new process, which starts cold and empty.
-  void came_back(WorkerId id, bool doubted) {
-    if (!doubted || leases.list_is_valid(now)) return;
-    forget_worker(id);
-    chill(workers[id], std::max(now, workers[id].cold_since.value_or(now)));
+  // A worker takes new work again after it refused some or could not be reached. Without discovery nothing
+  // reports whether it is a new process, so it counts as one: cold, and without instances.
+  void reset_if_restarted(WorkerId id, bool may_have_restarted) {
+    if (!may_have_restarted || leases.list_is_valid(now)) return;
+    clear_placements(id);
+    mark_cold(workers[id], std::max(now, workers[id].cold_since.value_or(now)));
   }
 
-  bool ready(const Worker& worker) const { return worker.known && worker.entry.state == WorkerState::kReady; }
+  bool ready(const Worker& worker) const {
+    return worker.listed && worker.entry.state == WorkerState::kReady;
+  }
 
-  // A restart empties a worker: nothing believed of it holds any more.
-  void forget_worker(WorkerId id) {
-    for (auto& [fid, f] : functions)
-      if (auto p = f.pairs.find(id); p != f.pairs.end())
-        p->second.copies = p->second.ordered = 0, p->second.placed = false;
+  // A restarted worker has no instances and no orders in flight.
+  void clear_placements(WorkerId id) {
+    for (auto& [function_id, function] : functions)
+      if (auto it = function.placements.find(id); it != function.placements.end())
+        it->second.known_instances = it->second.ordered_instances = 0, it->second.loaded_by_order = false;
   }
 
-  // Share of its capacity that a worker surely has: a straight line from the cold share to the whole.
-  double warmth(const Worker& worker) const {
+  // Share of its capacity that a worker is certain to have. While cold it grows linearly from the initial
+  // share to the whole.
+  double capacity_share(const Worker& worker) const {
     if (!worker.cold_since || settings.rules.cold_duration <= 0ns) return 1;
     const double age = seconds(now - *worker.cold_since) / seconds(settings.rules.cold_duration);
     return age >= 1 ? 1
@@ -338,744 +369,832 @@
                           (1 - settings.rules.cold_capacity_share) * std::max(age, 0.0);
   }
 
-  // Share of errors in its answers. It fades with what it rests on, so that the worker is tried again.
-  double errors(const Worker& w) const {
-    const double left = std::exp(-seconds(now - w.ended_at) / seconds(kDemandMemory));
-    return w.erred * left / (w.ended * left + kErrorsDoubted);
+  // Errors among its answers. The share decays together with the counts, so that the worker is tried again.
+  double error_share(const Worker& worker) const {
+    const double decay = std::exp(-seconds(now - worker.answers_counted_at) / seconds(kMinDecayTime));
+    return worker.recent_errors * decay / (worker.recent_answers * decay + kPriorAnswers);
   }
-  // What errs answers fast, so it always has room: a call that may not be repeated is lost there.
-  bool erring(const Worker& w) const { return errors(w) > kErring; }
-  void count_answer(Worker& w, bool error) {
-    const double left = std::exp(-seconds(now - w.ended_at) / seconds(kDemandMemory));
-    w.erred = w.erred * left + error, w.ended = w.ended * left + 1;
-    w.ended_at = now;
+  // A worker that fails answers fast and so always has room: it would attract requests, and those that must
+  // not be repeated would be lost there.
+  bool failing(const Worker& worker) const { return error_share(worker) > kErrorShareLimit; }
+  void count_answer(Worker& worker, bool error) {
+    const double decay = std::exp(-seconds(now - worker.answers_counted_at) / seconds(kMinDecayTime));
+    worker.recent_errors = worker.recent_errors * decay + error,
+    worker.recent_answers = worker.recent_answers * decay + 1;
+    worker.answers_counted_at = now;
   }
 
-  // Its part of the plan: what is cold, slow or errs has full lanes on paper only.
-  double pace(const Worker& w) const { return warmth(w) / std::max(1.0, w.slowness) * (1 - errors(w)); }
+  // The worker's weight in the plan: a cold, slow or failing one has less capacity than its lanes suggest.
+  double planning_weight(const Worker& worker) const {
+    return capacity_share(worker) / std::max(1.0, worker.slowness) * (1 - error_share(worker));
+  }
 
   // ---- Demand -----------------------------------------------------------------------------------
 
-  double run_seconds(const Function& f) const {
-    if (f.run_s.value > 0) return f.run_s.value;
-    if (class_run_s[f.request_class].value > 0) return class_run_s[f.request_class].value;
-    return std::max(0.01, seconds(settings.classes[f.request_class].target) / 4);
-  }
-
-  // What a call costs its worker: as hints say, which no queue lengthens, else as answers took.
-  double work_of(const Function& f) const { return f.work_s.value > 0 ? f.work_s.value : run_seconds(f); }
-
-  void learn_function(const Request& r) {
-    auto [it, fresh] = functions.try_emplace(r.function);
-    Function& f = it->second;
-    if (fresh) f.id = r.function, f.calls.at = now, f.calls.since = start;
-    f.request_class = r.request_class;
-    f.needed = std::max(f.needed, r.deadline);
-    f.lanes = std::max(1.0, std::floor(sane(r.lanes, 1)));
-    f.memory_mb = sane(r.memory_mb, 0);
-    f.calls.memory = memory;
-    f.calls.add(now, 1);
-    if (r.work_hint) {
-      Mean& usual = class_work_s[r.request_class];
-      usual.add(seconds(*r.work_hint), -1);
-      f.work_s.add(seconds(*r.work_hint), usual.value);
+  double run_seconds(const Function& function) const {
+    if (function.run_time_s.value > 0) return function.run_time_s.value;
+    if (class_run_time_s[function.request_class].value > 0)
+      return class_run_time_s[function.request_class].value;
+    return std::max(0.01, seconds(settings.classes[function.request_class].target) / 4);
+  }
+
+  // Work of a request for its worker: from hints, which no queue lengthens, else from answer times.
+  double work_seconds(const Function& function) const {
+    return function.work_s.value > 0 ? function.work_s.value : run_seconds(function);
+  }
+
+  void update_function(const Request& request) {
+    auto [it, added] = functions.try_emplace(request.function);
+    Function& function = it->second;
+    if (added)
+      function.id = request.function, function.request_rate.updated_at = now,
+      function.request_rate.started_at = start;
+    function.request_class = request.request_class;
+    function.latest_deadline = std::max(function.latest_deadline, request.deadline);
+    function.lanes = std::max(1.0, std::floor(valid_or(request.lanes, 1)));
+    function.memory_mb = valid_or(request.memory_mb, 0);
+    function.request_rate.decay_s = decay_s;
+    function.request_rate.add(now, 1);
+    if (request.work_hint) {
+      Mean& class_mean = class_work_s[request.request_class];
+      class_mean.add(seconds(*request.work_hint), -1);
+      function.work_s.add(seconds(*request.work_hint), class_mean.value);
     }
   }
 
-  // What a tenant asks beyond its share is worth little. This front end's part of a share is its part of all
-  // calls as told by peers; unheard, an equal one, but never so that own traffic, which may be most of all,
-  // counts as mostly over.
-  bool over_share(const Request& r) {
-    requests.add(now, 1);
-    if (!r.tenant || *r.tenant >= shares.size() || settings.over_share_worth >= 1) return false;
-    const Tenant& tenant = settings.tenants[*r.tenant];
-    const double own = requests.per_second(now);
-    const bool heard = settings.replicas <= 1 || !peers.empty();
-    const double rate = std::max(tenant.quota_per_s / crowd, heard ? 0 : kUnheardPart * tenant.share * own);
-    Share& s = shares[*r.tenant];
-    s.left = std::min(std::max(1.0, rate * kShareBurst), s.left + rate * seconds(now - s.at));
-    s.at = now;
-    if (s.left < 1) return true;
-    s.left -= 1;
+  // Counts the request; whether it is beyond its tenant's share, where it is worth little. This front end's
+  // part of a quota is its part of all requests as peers report them, or an equal one without reports.
+  // Without reports it is never so small that most of the own traffic, which may be most of all, counts as
+  // over.
+  bool take_from_share(const Request& request) {
+    request_rate.add(now, 1);
+    if (!request.tenant || *request.tenant >= tenant_buckets.size() || settings.over_share_worth >= 1)
+      return false;
+    const Tenant& tenant = settings.tenants[*request.tenant];
+    const double own_rate = request_rate.per_second(now);
+    const bool peers_known = settings.replicas <= 1 || !peer_rates.empty();
+    const double tenant_rate = std::max(tenant.quota_per_s / traffic_ratio,
+                                        peers_known ? 0 : kAssumedWithinShares * tenant.share * own_rate);
+    TokenBucket& bucket = tenant_buckets[*request.tenant];
+    bucket.tokens = std::min(std::max(1.0, tenant_rate * kTenantBurstSeconds),
+                             bucket.tokens + tenant_rate * seconds(now - bucket.updated_at));
+    bucket.updated_at = now;
+    if (bucket.tokens < 1) return true;
+    bucket.tokens -= 1;
     return false;
   }
 
-  void tell_peers() {
+  // The message: the own requests per 1000 s, as four bytes, big-endian.
+  void send_rate_to_peers() {
     if (!settings.bounds.peers || settings.replicas <= 1) return;
-    const auto rate = static_cast<std::uint32_t>(std::min(1e9, requests.per_second(now) * 1000));
+    const auto rate = static_cast<std::uint32_t>(std::min(1e9, request_rate.per_second(now) * 1000));
     std::array<std::byte, 4> bytes{};
     for (std::size_t i = 0; i < bytes.size(); ++i) bytes[i] = static_cast<std::byte>(rate >> (24 - 8 * i));
-    if (settings.replicas <= kPeersTold + 1) return sink.send_to_peer(std::nullopt, bytes);
-    for (std::size_t i = 0; i < kPeersTold; ++i)
+    if (settings.replicas <= kPeersPerReplan + 1) return sink.send_to_peer(std::nullopt, bytes);
+    for (std::size_t i = 0; i < kPeersPerReplan; ++i)
       if (const auto peer = static_cast<std::uint32_t>(random.below(settings.replicas));
           peer != settings.replica_index)
         sink.send_to_peer(peer, bytes);
   }
 
-  // All front ends' calls for each own one: from the mean of what peers told, else all are as busy as this.
-  void weigh_crowd() {
-    const double own = requests.per_second(now);
-    memory = std::clamp(kCallsToJudge / std::max(own, 1e-9), seconds(kDemandMemory), seconds(kLongestMemory));
-    requests.memory = served_weight.memory = memory;
-    double others = 0;
-    std::erase_if(peers, [&](auto& told) { return now - told.second.first >= kPeerStands; });
-    for (const auto& [peer, told] : peers) others += told.second / static_cast<double>(peers.size());
-    const double count = std::max(1U, settings.replicas);
-    crowd = peers.empty() || own <= 0 ? count : 1 + others * (count - 1) / own;
+  // Compares the own request rate with the mean of the peers' reports; without any, all count as equal.
+  void update_traffic_ratio() {
+    const double own_rate = request_rate.per_second(now);
+    decay_s = std::clamp(kRequestsToEstimate / std::max(own_rate, 1e-9), seconds(kMinDecayTime),
+                         seconds(kMaxDecayTime));
+    request_rate.decay_s = served_run_time.decay_s = decay_s;
+    double mean_peer_rate = 0;
+    std::erase_if(peer_rates, [&](auto& reported) { return now - reported.second.first >= kPeerExpiry; });
+    for (const auto& [peer, reported] : peer_rates)
+      mean_peer_rate += reported.second / static_cast<double>(peer_rates.size());
+    const double front_ends = std::max(1U, settings.replicas);
+    traffic_ratio =
+        peer_rates.empty() || own_rate <= 0 ? front_ends : 1 + mean_peer_rate * (front_ends - 1) / own_rate;
   }
 
-  void peer_told(const PeerMessage& message) {
+  void on_peer_message(const PeerMessage& message) {
     if (message.bytes.size() != sizeof(std::uint32_t)) return;
     std::uint32_t rate = 0;
-    for (std::byte b : message.bytes) rate = (rate << 8) | std::to_integer<std::uint32_t>(b);
-    peers[message.from] = {now, rate / 1000.0};
+    for (std::byte byte : message.bytes) rate = (rate << 8) | std::to_integer<std::uint32_t>(byte);
+    peer_rates[message.from] = {now, rate / 1000.0};
   }
 
-  // Worth of serving it, for each second of a worker's core where the goal counts requests.
-  double value(const Open& o) {
-    const double worth = class_of(o.request).worth * (o.over_share ? settings.over_share_worth : 1);
-    return settings.worth_by_work ? worth : worth / run_seconds(functions[o.request.function]);
+  // Worth of serving the request: per second of a worker's core where each request counts by itself.
+  double worth_of(const OpenRequest& open) {
+    const double worth = class_of(open.request).worth * (open.over_share ? settings.over_share_worth : 1);
+    return settings.worth_by_work ? worth : worth / run_seconds(functions[open.request.function]);
   }
 
-  // Mean work of a send, by class, as the cold rule weighs it.
-  double weight(ClassIndex c) const { return class_run_s[c].value > 0 ? class_run_s[c].value : 0.2; }
+  // Mean run time of a request of the class, as the cold budget counts it.
+  double class_run_seconds(ClassIndex request_class) const {
+    return class_run_time_s[request_class].value > 0 ? class_run_time_s[request_class].value : 0.2;
+  }
 
-  // ---- Beliefs ----------------------------------------------------------------------------------
+  // ---- Estimated instances ------------------------------------------------------------------------
 
-  bool believed_warm(const Pair& p) const {
-    return p.copies > 0 && (p.in_flight > 0 || now - p.seen < settings.instances.keep_alive);
+  bool has_known_instance(const Placement& placement) const {
+    return placement.known_instances > 0 &&
+           (placement.in_flight > 0 || now - placement.last_seen < settings.instances.keep_alive);
+  }
+  bool loading(const Placement& placement) const {
+    return placement.ordered_instances > 0 && now - placement.ordered_at < kOrderLostAfter;
   }
-  bool loading(const Pair& p) const { return p.ordered > 0 && now - p.ordered_at < kOrderLost; }
 
-  // A copy believed warm was not there. Eviction and a new release look alike from here: both void what is
-  // believed elsewhere. Also guards against others' releases; may hurt where workers evict often.
-  void saw_cold(Function& f, WorkerId at, Time sent) {
-    for (auto& [id, p] : f.pairs)
-      if (id == at || (p.seen <= sent && !p.in_flight)) p.copies = 0;
+  // An expected instance was missing. An eviction and a new release look the same from here, so estimates for
+  // other workers that are older than the attempt are dropped too. Also covers instances that other front
+  // ends released; may cost loads where workers evict often.
+  void on_missing_instance(Function& function, WorkerId at, Time sent_at) {
+    for (auto& [id, placement] : function.placements)
+      if (id == at || (placement.last_seen <= sent_at && !placement.in_flight)) placement.known_instances = 0;
   }
 
-  void suspect(WorkerId id, const char* why) {
+  void mark_suspect(WorkerId id, const char* why) {
     Worker& worker = workers[id];
     if (worker.suspect) return;
     worker.suspect = true;
     worker.suspected_at = now;
-    const bool can_ask = settings.instances.orders || settings.bounds.probes;
-    worker.asked = can_ask ? now - kAskSuspectEvery : now;
+    const bool can_probe = settings.instances.orders || settings.bounds.probes;
+    worker.probed_at = can_probe ? now - kSuspectProbeInterval : now;
     sink.log("worker " + std::to_string(static_cast<std::uint32_t>(id)) + " suspect: " + why);
-    start_sweep();
+    schedule_sweep();
   }
 
-  // It answers again. What died in between came back empty and cold, whether or not the list says so yet.
-  void trust(WorkerId id, bool restarted) {
+  // The worker answers again. If it restarted meanwhile it is cold and has no instances, even where the list
+  // does not say so yet.
+  void clear_suspect(WorkerId id, bool restarted) {
     Worker& worker = workers[id];
     if (!std::exchange(worker.suspect, false) || !restarted) return;
-    forget_worker(id);
-    chill(worker, std::max(now, worker.cold_since.value_or(now)));
+    clear_placements(id);
+    mark_cold(worker, std::max(now, worker.cold_since.value_or(now)));
   }
 
   // ---- Greedy plan ------------------------------------------------------------------------------
 
-  void match(Function& f, WorkerId id, Worker& worker) {
-    const double matched = std::min(worker.flow, f.flow);
-    const double copies = std::min(
-        {std::ceil(matched / f.lanes), std::floor(worker.slots), static_cast<double>(kMostInstances)});
-    worker.flow -= matched;
-    f.flow -= matched;
-    worker.slots -= copies;
-    f.pairs[id].target = static_cast<int>(copies);
-  }
-
-  // A long life meets many workers and functions: what is long gone and nothing open can name is dropped.
-  void forget_old() {
-    const Time old = now - kForgetAfter;
-    for (auto& [id, f] : functions)
-      std::erase_if(f.pairs, [&](auto& pair) {
-        const Pair& p = pair.second;
-        return !p.in_flight && !p.target && std::max({p.seen, p.ordered_at, p.full_until}) < old;
+  void assign(Function& function, WorkerId id, Worker& worker) {
+    const double lanes = std::min(worker.free_lanes, function.unplaced_lanes);
+    const double instances = std::min({std::ceil(lanes / function.lanes), std::floor(worker.free_slots),
+                                       static_cast<double>(kMaxInstancesPerOrder)});
+    worker.free_lanes -= lanes;
+    function.unplaced_lanes -= lanes;
+    worker.free_slots -= instances;
+    function.placements[id].target_instances = static_cast<int>(instances);
+  }
+
+  // Bounds the memory of a process that runs for long: drops workers, functions and placements that no open
+  // request refers to and that were not used for a while.
+  void forget_unused() {
+    const Time oldest = now - kForgetAfter;
+    for (auto& [id, function] : functions)
+      std::erase_if(function.placements, [&](auto& entry) {
+        const Placement& placement = entry.second;
+        return !placement.in_flight && !placement.target_instances &&
+               std::max({placement.last_seen, placement.ordered_at, placement.cooldown_until}) < oldest;
       });
-    std::erase_if(functions, [&](auto& f) { return f.second.pairs.empty() && f.second.needed < old; });
-    std::erase_if(workers, [&](auto& w) {
-      const bool drop =
-          w.second.entry.state == WorkerState::kGone && !w.second.in_flight && w.second.heard < old;
-      if (drop) leases.forget(w.first);
-      return drop;
+    std::erase_if(functions, [&](auto& entry) {
+      return entry.second.placements.empty() && entry.second.latest_deadline < oldest;
+    });
+    std::erase_if(workers, [&](auto& entry) {
+      const bool unused = entry.second.entry.state == WorkerState::kGone && !entry.second.in_flight &&
+                          entry.second.last_answer < oldest;
+      if (unused) leases.forget(entry.first);
+      return unused;
     });
   }
 
   void replan() {
-    forget_old();
-    weigh_crowd();
-    double total = 0, calls = 0, sizes_sum = 0, share = 0;
-    std::vector<Function*> wanted;
-    for (auto& [id, f] : functions) {
-      for (auto& [wid, pair] : f.pairs) {
-        pair.current = std::exchange(pair.target, 0) > 0;
-        pair.order_waits = 0;
+    forget_unused();
+    update_traffic_ratio();
+    double total_lanes = 0, requests_seen = 0, total_memory_mb = 0, total_weight = 0;
+    std::vector<Function*> planned;
+    for (auto& [id, function] : functions) {
+      for (auto& [worker_id, placement] : function.placements) {
+        placement.was_target = std::exchange(placement.target_instances, 0) > 0;
+        placement.deferred_order = 0;
       }
-      f.calls.memory = memory;
-      const double rate = f.calls.per_second(now) * crowd;
-      f.flow = rate * work_of(f);
-      total += f.flow;
-      calls += f.calls.mass;
-      if (f.flow <= 0 || rate * seconds(settings.instances.keep_alive) < kCallsToHold) continue;
-      wanted.push_back(&f);
-      sizes_sum += f.memory_mb;
+      function.request_rate.decay_s = decay_s;
+      const double total_rate = function.request_rate.per_second(now) * traffic_ratio;
+      function.unplaced_lanes = total_rate * work_seconds(function);
+      total_lanes += function.unplaced_lanes;
+      requests_seen += function.request_rate.decayed_sum;
+      if (function.unplaced_lanes <= 0 ||
+          total_rate * seconds(settings.instances.keep_alive) < kMinRequestsPerKeepAlive)
+        continue;
+      planned.push_back(&function);
+      total_memory_mb += function.memory_mb;
     }
-    total *= 1 + kDoubt / std::max(calls, 1e-9);
+    total_lanes *= 1 + kUnseenRequests / std::max(requests_seen, 1e-9);
     std::vector<std::pair<WorkerId, Worker*>> fleet;
     for (auto& [id, worker] : workers)
       if (ready(worker) && !worker.suspect && usable(id)) {
         fleet.emplace_back(id, &worker);
-        share += pace(worker);
+        total_weight += planning_weight(worker);
       }
-    const double remembered = ready_count * std::exp(-seconds(kReplanEvery) / memory);
-    ready_count = std::max({1.0, remembered, static_cast<double>(fleet.size())});
+    const double decayed = ready_workers * std::exp(-seconds(kReplanInterval) / decay_s);
+    ready_workers = std::max({1.0, decayed, static_cast<double>(fleet.size())});
     for (auto& [id, worker] : fleet) {
-      worker->flow = kFlowHeadroom * total * pace(*worker) / std::max(share, 1e-9);
-      const auto& sizes = settings.instances.memory_mb_by_kind;
-      const double size = worker->entry.kind < sizes.size() ? sizes[worker->entry.kind] : 0;
-      worker->slots = sizes_sum > 0 && size > 0
-                          ? std::max(1.0, size / (sizes_sum / static_cast<double>(wanted.size())))
-                          : static_cast<double>(wanted.size());
+      worker->free_lanes =
+          kLaneHeadroom * total_lanes * planning_weight(*worker) / std::max(total_weight, 1e-9);
+      const auto& memory_mb_by_kind = settings.instances.memory_mb_by_kind;
+      const double memory_mb =
+          worker->entry.kind < memory_mb_by_kind.size() ? memory_mb_by_kind[worker->entry.kind] : 0;
+      worker->free_slots =
+          total_memory_mb > 0 && memory_mb > 0
+              ? std::max(1.0, memory_mb / (total_memory_mb / static_cast<double>(planned.size())))
+              : static_cast<double>(planned.size());
     }
-    std::stable_sort(wanted.begin(), wanted.end(), [](auto* a, auto* b) { return a->flow > b->flow; });
-    for (Function* f : wanted)  // current pairs that still get flow are kept first
-      for (auto& [id, pair] : f->pairs) {
+    std::stable_sort(planned.begin(), planned.end(),
+                     [](auto* a, auto* b) { return a->unplaced_lanes > b->unplaced_lanes; });
+    for (Function* function : planned)  // targets of the plan before that still get load are kept first
+      for (auto& [id, placement] : function->placements) {
         Worker& worker = workers[id];
-        if (pair.current && ready(worker) && !worker.suspect && usable(id) && f->flow > 0 &&
-            worker.flow > 0 && worker.slots >= 1)
-          match(*f, id, worker);
+        if (placement.was_target && ready(worker) && !worker.suspect && usable(id) &&
+            function->unplaced_lanes > 0 && worker.free_lanes > 0 && worker.free_slots >= 1)
+          assign(*function, id, worker);
       }
     while (true) {
-      const auto f =
-          std::max_element(wanted.begin(), wanted.end(), [](auto* a, auto* b) { return a->flow < b->flow; });
-      if (f == wanted.end() || (*f)->flow <= 1e-9) break;
-      // The paper maximises min(worker flow, function flow): all workers that can take the whole function
-      // tie. Ties go to the first by hash, so that front ends share copies without talking.
+      const auto function = std::max_element(planned.begin(), planned.end(), [](auto* a, auto* b) {
+        return a->unplaced_lanes < b->unplaced_lanes;
+      });
+      if (function == planned.end() || (*function)->unplaced_lanes <= 1e-9) break;
+      // The paper maximises min(worker flow, function flow), so all workers that can take the whole function
+      // tie. Ties go to the highest rendezvous rank, so that front ends share instances without
+      // communication.
       const std::pair<WorkerId, Worker*>* best = nullptr;
-      auto rank = [&](const std::pair<WorkerId, Worker*>& w) {
-        return std::tuple(std::min(w.second->flow, (*f)->flow), affinity((*f)->id, w.first));
+      auto rank = [&](const std::pair<WorkerId, Worker*>& candidate) {
+        return std::tuple(std::min(candidate.second->free_lanes, (*function)->unplaced_lanes),
+                          rendezvous_rank((*function)->id, candidate.first));
       };
-      for (const auto& w : fleet) {
-        if (w.second->slots < 1 || w.second->flow <= 1e-9) continue;
-        const auto p = (*f)->pairs.find(w.first);
-        if (p != (*f)->pairs.end() && (p->second.target > 0 || p->second.full_until > now)) continue;
-        if (!best || rank(w) > rank(*best)) best = &w;
+      for (const auto& candidate : fleet) {
+        if (candidate.second->free_slots < 1 || candidate.second->free_lanes <= 1e-9) continue;
+        const auto it = (*function)->placements.find(candidate.first);
+        if (it != (*function)->placements.end() &&
+            (it->second.target_instances > 0 || it->second.cooldown_until > now))
+          continue;
+        if (!best || rank(candidate) > rank(*best)) best = &candidate;
       }
       if (best)
-        match(**f, best->first, *best->second);
+        assign(**function, best->first, *best->second);
       else
-        (*f)->flow = 0;
+        (*function)->unplaced_lanes = 0;
     }
-    place_orders(wanted);
+    apply_plan(planned);
   }
 
   // ---- Orders -----------------------------------------------------------------------------------
 
-  void place_orders(const std::vector<Function*>& wanted) {
-    for (Function* f : wanted)
-      for (auto& [id, pair] : f->pairs) {
-        if (pair.target <= 0 || !workers[id].known) continue;
-        const bool stands = believed_warm(pair) && pair.copies >= pair.target;
-        const bool ageing = now - pair.seen > from_seconds(kRenewAt * seconds(settings.instances.keep_alive));
-        const bool wanted_now = !stands || (ageing && pair.in_flight == 0);
-        if (wanted_now && random.unit() < kOrdersShared / crowd) order(*f, id, pair.target, false);
+  // Orders and renews the targets' instances, and releases own ones that have had no target for some replans.
+  void apply_plan(const std::vector<Function*>& planned) {
+    for (Function* function : planned)
+      for (auto& [id, placement] : function->placements) {
+        if (placement.target_instances <= 0 || !workers[id].listed) continue;
+        const bool satisfied =
+            has_known_instance(placement) && placement.known_instances >= placement.target_instances;
+        const bool renewal_due =
+            now - placement.last_seen > from_seconds(kRenewAtShare * seconds(settings.instances.keep_alive));
+        const bool needs_order = !satisfied || (renewal_due && placement.in_flight == 0);
+        if (needs_order && random.unit() < kOrdersPerTarget / traffic_ratio)
+          order(*function, id, placement.target_instances, false);
       }
-    for (auto& [fid, f] : functions)
-      for (auto& [id, pair] : f.pairs) {
-        pair.unpaired = pair.target > 0 ? 0 : pair.unpaired + 1;
-        const bool drop =
-            pair.placed && pair.unpaired >= kReplansToDrop && believed_warm(pair) && !pair.in_flight;
-        if (!drop || settings.instances.idle_memory_cost <= 0 || !may_start_work(id)) continue;
-        sink.release(id, fid);
-        pair.copies = 0, pair.placed = false;
+    for (auto& [function_id, function] : functions)
+      for (auto& [id, placement] : function.placements) {
+        placement.replans_without_target =
+            placement.target_instances > 0 ? 0 : placement.replans_without_target + 1;
+        const bool release = placement.loaded_by_order &&
+                             placement.replans_without_target >= kReplansToRelease &&
+                             has_known_instance(placement) && !placement.in_flight;
+        if (!release || settings.instances.idle_memory_cost <= 0 || !may_start_work(id)) continue;
+        sink.release(id, function_id);
+        placement.known_instances = 0, placement.loaded_by_order = false;
       }
   }
 
-  // The only gate for hold orders. Rules: drains, and the ration.
-  bool order(Function& f, WorkerId id, int count, bool asked_for) {
+  // The only place that sends orders to load instances; checks drains (rule 3) and the limit (rule 5).
+  // `on_demand`: for a request's miss, not for the plan.
+  bool order(Function& function, WorkerId id, int instances, bool on_demand) {
     Worker& worker = workers[id];
-    Pair& pair = f.pairs[id];
+    Placement& placement = function.placements[id];
     if (!settings.instances.orders || !ready(worker) || worker.suspect) return false;
     if (!leases.holds(id, now)) {
-      pair.order_waits = count;
-      ask_for_lease(id);
+      placement.deferred_order = instances;
+      request_lease(id);
       return false;
     }
-    if (loading(pair) || pair.full_until > now) return false;
-    if (!within_ration(asked_for ? 1.0 : kPlannedRation)) return false;
-    pair.ordered = std::clamp(count, 1, kMostInstances);
-    pair.ordered_at = now;
-    orders.push_back(now);
-    sink.hold(id, f.id, pair.ordered);
+    if (loading(placement) || placement.cooldown_until > now) return false;
+    if (!within_order_limit(on_demand ? 1.0 : kPlannedOrderShare)) return false;
+    placement.ordered_instances = std::clamp(instances, 1, kMaxInstancesPerOrder);
+    placement.ordered_at = now;
+    order_times.push_back(now);
+    sink.hold(id, function.id, placement.ordered_instances);
     return true;
   }
 
-  void place_waiting_orders(WorkerId id) {
-    for (auto& [fid, f] : functions) {
-      const auto p = f.pairs.find(id);
-      if (p == f.pairs.end()) continue;
-      if (const int count = std::exchange(p->second.order_waits, 0); count > 0) order(f, id, count, false);
+  void send_deferred_orders(WorkerId id) {
+    for (auto& [function_id, function] : functions) {
+      const auto it = function.placements.find(id);
+      if (it == function.placements.end()) continue;
+      if (const int instances = std::exchange(it->second.deferred_order, 0); instances > 0)
+        order(function, id, instances, false);
     }
   }
 
-  // Rule 5. The edges of the window are taken against us: orders count a little longer than requests.
-  bool within_ration(double part) {
-    const Instances& in = settings.instances;
-    if (in.order_window <= 0ns) return true;
-    while (!orders.empty() && now - orders.front() > in.order_window + settings.tick) orders.pop_front();
-    while (!arrivals.empty() && now - arrivals.front() >= in.order_window - settings.tick)
-      arrivals.pop_front();
-    const double allowed = in.order_floor + in.orders_per_request * static_cast<double>(arrivals.size());
-    return static_cast<double>(orders.size()) + 1 <= allowed * part;
-  }
-
-  void hold_answered(const HoldResult& result) {
-    const auto w = workers.find(result.worker);
-    const auto fit = functions.find(result.function);
-    if (w == workers.end() || fit == functions.end()) return;
-    Function& f = fit->second;
-    Pair& pair = f.pairs[result.worker];
-    // An order for no copies is a question, and a refusal of one can only mean a drain.
-    const bool question = result.asked.value_or(pair.ordered) == 0;
-    if (!question) pair.ordered = 0;
-    if (question && result.outcome == Outcome::kFull) leases.refused(result.worker, now - result.took, now);
-    // What stands there is not known by it: the worker is asked.
+  // Rule 5. At the window's edges the strict reading applies: orders count one tick longer, requests one
+  // tick shorter.
+  bool within_order_limit(double share) {
+    const Instances& limits = settings.instances;
+    if (limits.order_window <= 0ns) return true;
+    while (!order_times.empty() && now - order_times.front() > limits.order_window + settings.tick)
+      order_times.pop_front();
+    while (!arrival_times.empty() && now - arrival_times.front() >= limits.order_window - settings.tick)
+      arrival_times.pop_front();
+    const double allowed =
+        limits.order_floor + limits.orders_per_request * static_cast<double>(arrival_times.size());
+    return static_cast<double>(order_times.size()) + 1 <= allowed * share;
+  }
+
+  void on_hold_result(const HoldResult& result) {
+    const auto worker = workers.find(result.worker);
+    const auto function_it = functions.find(result.function);
+    if (worker == workers.end() || function_it == functions.end()) return;
+    Function& function = function_it->second;
+    Placement& placement = function.placements[result.worker];
+    // An order for no instances is a query and needs no room, so its refusal can only mean a drain.
+    const bool query = result.ordered_instances.value_or(placement.ordered_instances) == 0;
+    if (!query) placement.ordered_instances = 0;
+    if (query && result.outcome == Outcome::kFull)
+      leases.probe_refused(result.worker, now - result.took, now);
+    // The result says nothing of the instances there: the worker is probed.
     if (result.outcome == Outcome::kConnectFailed || result.outcome == Outcome::kReset)
-      return suspect(result.worker, "order not delivered");
+      return mark_suspect(result.worker, "order not delivered");
     if (result.outcome == Outcome::kTimeout) return;
-    w->second.heard = now;
-    // Only a copy that should stand and is gone tells of a restart. Of another function the answer tells
-    // nothing.
-    const bool away = !leases.list_is_valid(now);  // then the list would not have told of a restart
-    trust(result.worker, away || (believed_warm(pair) && result.instances <= 0));
-    pair.copies = std::max(0, result.instances);
-    if (pair.copies > 0) pair.seen = now, pair.placed = true;
-    if (result.outcome == Outcome::kFull) pair.full_until = now + jittered(kNoMemoryRest);
-    release_held();
+    worker->second.last_answer = now;
+    // Only a missing instance that should be there indicates a restart; an answer about another function does
+    // not.
+    const bool list_expired = !leases.list_is_valid(now);  // then the list would not show a restart
+    clear_suspect(result.worker, list_expired || (has_known_instance(placement) && result.instances <= 0));
+    placement.known_instances = std::max(0, result.instances);
+    if (placement.known_instances > 0) placement.last_seen = now, placement.loaded_by_order = true;
+    if (result.outcome == Outcome::kFull) placement.cooldown_until = now + jittered(kNoMemoryCooldown);
+    dispatch_waiting();
   }
 
   // ---- Routing ----------------------------------------------------------------------------------
 
-  bool rested(const Open& o, WorkerId id, const Worker& worker, const Function& f) const {
-    const auto p = f.pairs.find(id);
-    if (worker.full_until > now || (p != f.pairs.end() && p->second.full_until > now)) return false;
-    return worker.in_flight < worker.limit && !been_at(o, id);
+  // Not in a cooldown, below its limit, and not a worker where the request may have run.
+  bool has_room(const OpenRequest& open, WorkerId id, const Worker& worker, const Function& function) const {
+    const auto it = function.placements.find(id);
+    if (worker.cooldown_until > now || (it != function.placements.end() && it->second.cooldown_until > now))
+      return false;
+    return worker.in_flight < worker.in_flight_limit && !may_have_run_at(open, id);
   }
 
-  // It may have run there: another attempt goes elsewhere.
-  static bool been_at(const Open& o, WorkerId id) {
-    return std::any_of(o.attempts.begin(), o.attempts.end(),
-                       [&](const Attempt& a) { return a.worker == id && a.fate != Fate::kNeverRan; });
+  // Another attempt then goes elsewhere.
+  static bool may_have_run_at(const OpenRequest& open, WorkerId id) {
+    return std::any_of(open.attempts.begin(), open.attempts.end(), [&](const Attempt& attempt) {
+      return attempt.worker == id && attempt.status != AttemptStatus::kNeverRan;
+    });
   }
 
-  // A random one, of those that need not be asked for a lease first where there are any.
-  WorkerId draw(const std::vector<WorkerId>& warm) {
-    if (leases.list_is_valid(now)) return warm[random.below(warm.size())];
+  // A random one, of those with a lease where there are any: they need no probe first.
+  WorkerId pick(const std::vector<WorkerId>& candidates) {
+    if (leases.list_is_valid(now)) return candidates[random.below(candidates.size())];
     std::vector<WorkerId> leased;
-    for (const WorkerId id : warm)
+    for (const WorkerId id : candidates)
       if (leases.holds(id, now)) leased.push_back(id);
-    const std::vector<WorkerId>& from = leased.empty() ? warm : leased;
+    const std::vector<WorkerId>& from = leased.empty() ? candidates : leased;
     return from[random.below(from.size())];
   }
 
-  std::optional<WorkerId> choose(const Open& o, Function& f, bool suspects_too) {
-    std::vector<WorkerId> calm, roomy;  // warm with a free lane; the slow ones apart
-    std::optional<WorkerId> target, hashed;
-    std::pair<bool, int> target_load;  // erring or not, then by load
-    std::pair<bool, std::uint64_t> hashed_rank;
+  // Prefers workers with an instance and a free lane, then those with an instance or a target, then the one
+  // that ranks first by hash. None: the request waits.
+  std::optional<WorkerId> choose_worker(const OpenRequest& open, Function& function, bool include_suspects) {
+    std::vector<WorkerId> free, slow_or_failing;  // have an instance with a free lane
+    std::optional<WorkerId> least_loaded, by_hash;
+    std::pair<bool, int> least_loaded_rank;  // failing ones last, then by requests in flight
+    std::pair<bool, std::uint64_t> by_hash_rank;
     for (auto& [id, worker] : workers) {
-      if (!ready(worker) || (worker.suspect && !suspects_too) || !rested(o, id, worker, f)) continue;
-      if (!usable(id) || !may_send(o, worker)) continue;
-      const auto it = f.pairs.find(id);
-      Pair* pair = it == f.pairs.end() ? nullptr : &it->second;
-      const bool errs = erring(worker);
-      if (pair && believed_warm(*pair) && pair->in_flight < pair->copies * f.lanes)
-        (worker.slowness < kSlow && !errs ? calm : roomy).push_back(id);
-      const bool waits =
-          settings.instances.on_miss == MissMode::kMiss && pair && !believed_warm(*pair) && loading(*pair);
-      if (pair && (pair->target > 0 || believed_warm(*pair)) && !waits &&
-          (!target || std::pair(errs, pair->in_flight) < target_load))
-        target = id, target_load = {errs, pair->in_flight};
-      if (!waits && (!hashed || std::pair(!errs, affinity(f.id, id)) > hashed_rank))
-        hashed = id, hashed_rank = {!errs, affinity(f.id, id)};
+      if (!ready(worker) || (worker.suspect && !include_suspects) || !has_room(open, id, worker, function))
+        continue;
+      if (!usable(id) || !may_send_to(open, worker)) continue;
+      const auto it = function.placements.find(id);
+      Placement* placement = it == function.placements.end() ? nullptr : &it->second;
+      const bool fails = failing(worker);
+      if (placement && has_known_instance(*placement) &&
+          placement->in_flight < placement->known_instances * function.lanes)
+        (worker.slowness < kSlowFrom && !fails ? free : slow_or_failing).push_back(id);
+      const bool would_miss = settings.instances.on_miss == MissMode::kMiss && placement &&
+                              !has_known_instance(*placement) && loading(*placement);
+      if (placement && (placement->target_instances > 0 || has_known_instance(*placement)) && !would_miss &&
+          (!least_loaded || std::pair(fails, placement->in_flight) < least_loaded_rank))
+        least_loaded = id, least_loaded_rank = {fails, placement->in_flight};
+      if (!would_miss && (!by_hash || std::pair(!fails, rendezvous_rank(function.id, id)) > by_hash_rank))
+        by_hash = id, by_hash_rank = {!fails, rendezvous_rank(function.id, id)};
     }
-    if (!calm.empty()) return draw(calm);
-    if (!roomy.empty()) return draw(roomy);
-    if (target) return target;
-    // With a place that soon has it, or with the whole fleet short, the request waits here for room: one more
-    // load elsewhere would add to the jam that it flees from. So it does where it would only find a miss. But
-    // never for a place that this request may not go to again.
-    const bool stay = settings.instances.on_miss == MissMode::kMiss || crowd <= kMany || fleet_is_short();
-    const bool placed = std::any_of(f.pairs.begin(), f.pairs.end(), [&](auto& p) {
-      const Worker& worker = workers[p.first];
-      const bool coming =
-          loading(p.second) || (p.second.in_flight > 0 && settings.instances.on_miss == MissMode::kLoad);
-      return ready(worker) && !worker.suspect && usable(p.first) && !been_at(o, p.first) &&
-             (coming || (stay && believed_warm(p.second)));
+    if (!free.empty()) return pick(free);
+    if (!slow_or_failing.empty()) return pick(slow_or_failing);
+    if (least_loaded) return least_loaded;
+    // If some worker has or will soon have an instance, the request may wait here for room there. It always
+    // waits for an instance that is being loaded. For one that is loaded it waits where another worker would
+    // only miss, where this front end sees much of the fleet, and where the whole fleet is short of room: a
+    // load elsewhere would then add to the overload. It never waits for a worker that it may not be sent to
+    // again.
+    const bool wait_for_loaded =
+        settings.instances.on_miss == MissMode::kMiss || traffic_ratio <= kManyFrontEnds || fleet_is_short();
+    const bool waits = std::any_of(function.placements.begin(), function.placements.end(), [&](auto& entry) {
+      const Worker& worker = workers[entry.first];
+      const bool being_loaded = loading(entry.second) ||
+                                (entry.second.in_flight > 0 && settings.instances.on_miss == MissMode::kLoad);
+      return ready(worker) && !worker.suspect && usable(entry.first) && !may_have_run_at(open, entry.first) &&
+             (being_loaded || (wait_for_loaded && has_known_instance(entry.second)));
     });
-    if (placed) return std::nullopt;
-    return hashed;
+    if (waits) return std::nullopt;
+    return by_hash;
   }
 
-  // Most workers have no room: the whole fleet is short, not just the places of one function.
+  // Whether most workers of the fleet have no room, not only those of one function.
   bool fleet_is_short() const {
-    double room = 0;
-    for (const auto& [id, w] : workers)
-      room += ready(w) && !w.suspect && usable(id) && w.full_until <= now && w.in_flight < w.limit;
-    return 2 * room < ready_count;
-  }
-
-  // Sends the request, or keeps it for the sweep to try again, or ends it when nothing can serve it.
-  void place(Open& o) {
-    if (o.answered || o.streaming) return;
-    Function& f = functions[o.request.function];
-    if (may_attempt(o)) {
-      const bool suspects_only = std::none_of(workers.begin(), workers.end(),
-                                              [&](auto& w) { return ready(w.second) && !w.second.suspect; });
-      const std::optional<WorkerId> to = choose(o, f, suspects_only);
-      if (to && leases.holds(*to, now)) return send(o, f, *to);
-      if (to) ask_for_lease(*to);
+    double with_room = 0;
+    for (const auto& [id, worker] : workers)
+      with_room += ready(worker) && !worker.suspect && usable(id) && worker.cooldown_until <= now &&
+                   worker.in_flight < worker.in_flight_limit;
+    return 2 * with_room < ready_workers;
+  }
+
+  // Sends the request, or keeps it waiting for the next sweep, or ends it when nothing can serve it.
+  void dispatch(OpenRequest& open) {
+    if (open.answered || open.streaming) return;
+    Function& function = functions[open.request.function];
+    if (may_attempt(open)) {
+      const bool only_suspects = std::none_of(workers.begin(), workers.end(), [&](auto& entry) {
+        return ready(entry.second) && !entry.second.suspect;
+      });
+      const std::optional<WorkerId> to = choose_worker(open, function, only_suspects);
+      if (to && leases.holds(*to, now)) return send(open, function, *to);
+      if (to) request_lease(*to);
     }
-    if (o.out == 0) {
-      const Duration patience = from_seconds(kWaitShare * seconds(class_of(o.request).target));
-      const bool hopeless = now - o.arrived > patience && may_refuse(o);
-      if (!may_attempt(o) || hopeless || o.request.deadline - now <= kHoldBack + settings.tick)
-        return settle(o);
-      start_sweep();
+    if (open.in_flight == 0) {
+      const Duration max_wait = from_seconds(kMaxWaitShare * seconds(class_of(open.request).target));
+      const bool give_up = now - open.arrived_at > max_wait && may_refuse(open);
+      if (!may_attempt(open) || give_up || open.request.deadline - now <= kAnswerMargin + settings.tick)
+        return give_final_answer(open);
+      schedule_sweep();
     }
   }
 
-  void take(const Request& request) {
+  void on_request(const Request& request) {
     if (request.request_class >= settings.classes.size()) return;
-    auto [it, fresh] = open.try_emplace(request.id);
-    if (!fresh) return;
-    Open& o = it->second;
-    o.request = request;
-    o.arrived = now;
-    if (settings.instances.order_window > 0ns) arrivals.push_back(now);
-    learn_function(request);
-    const Duration left = std::max<Duration>(0ns, request.deadline - now);
-    sink.start_timer(left, kDeadlineTokens | static_cast<std::uint32_t>(request.id));
-    o.over_share = over_share(request);
-    if (o.over_share && fleet_is_short() && may_refuse(o)) settle(o);
-    place(o);
-    discard(it);
-  }
-
-  // The only gate for sends.
-  void send(Open& o, Function& f, WorkerId id) {
+    auto [it, added] = open_requests.try_emplace(request.id);
+    if (!added) return;
+    OpenRequest& open = it->second;
+    open.request = request;
+    open.arrived_at = now;
+    if (settings.instances.order_window > 0ns) arrival_times.push_back(now);
+    update_function(request);
+    const Duration time_left = std::max<Duration>(0ns, request.deadline - now);
+    sink.start_timer(time_left, kDeadlineTimers | static_cast<std::uint32_t>(request.id));
+    open.over_share = take_from_share(request);
+    if (open.over_share && fleet_is_short() && may_refuse(open)) give_final_answer(open);
+    dispatch(open);
+    erase_if_done(it);
+  }
+
+  // The only place that sends attempts.
+  void send(OpenRequest& open, Function& function, WorkerId id) {
     Worker& worker = workers[id];
-    Pair& pair = f.pairs[id];
-    if (warmth(worker) < 1) worker.credit -= weight(o.request.request_class);
-    if (worker.in_flight++ == 0) worker.heard = now;
-    ++pair.in_flight;
-    ++o.out;
-    o.attempts.push_back({id, now, Fate::kOut, believed_warm(pair), false});
-    start_sweep();
-    sink.send(o.request.id, id, 0ns);
-  }
-
-  void release_held() {
-    std::vector<std::tuple<double, Time, RequestId>> held;  // the dearest first, then the oldest
-    for (auto& [id, o] : open)
-      if (o.out == 0 && !o.answered && !o.streaming) held.emplace_back(-value(o), o.arrived, id);
-    std::sort(held.begin(), held.end());
-    for (const auto& [worth, arrived, id] : held)
-      if (auto it = open.find(id); it != open.end()) place(it->second), discard(it);
+    Placement& placement = function.placements[id];
+    if (capacity_share(worker) < 1) worker.cold_budget_s -= class_run_seconds(open.request.request_class);
+    if (worker.in_flight++ == 0) worker.last_answer = now;
+    ++placement.in_flight;
+    ++open.in_flight;
+    open.attempts.push_back({id, now, AttemptStatus::kInFlight, has_known_instance(placement), false});
+    schedule_sweep();
+    sink.send(open.request.id, id, 0ns);
+  }
+
+  void dispatch_waiting() {
+    std::vector<std::tuple<double, Time, RequestId>> waiting;  // highest worth first, then oldest
+    for (auto& [id, open] : open_requests)
+      if (open.in_flight == 0 && !open.answered && !open.streaming)
+        waiting.emplace_back(-worth_of(open), open.arrived_at, id);
+    std::sort(waiting.begin(), waiting.end());
+    for (const auto& [worth, arrived_at, id] : waiting)
+      if (auto it = open_requests.find(id); it != open_requests.end())
+        dispatch(it->second), erase_if_done(it);
   }
 
   // ---- Attempts ---------------------------------------------------------------------------------
 
-  void returned(const AttemptResult& r) {
-    const auto it = open.find(r.request);
-    if (it == open.end() || r.attempt >= it->second.attempts.size()) return;
-    Open& o = it->second;
-    Attempt& a = o.attempts[r.attempt];
-    if (a.fate != Fate::kOut || a.worker != r.worker) return;
-    Function& f = functions[o.request.function];
-    Pair& pair = f.pairs[a.worker];
-    Worker& worker = workers[a.worker];
-    --worker.in_flight, --pair.in_flight, --o.out;
-    const bool load_failed = r.found == Found::kLoadFailed;
-    const bool proof = r.outcome == Outcome::kFull || r.outcome == Outcome::kConnectFailed ||
-                       r.outcome == Outcome::kNotRun || r.outcome == Outcome::kMiss;
-    a.fate = proof ? Fate::kNeverRan : Fate::kMayHaveRun;
-    if (r.outcome == Outcome::kOk || r.outcome == Outcome::kError || r.outcome == Outcome::kFull ||
-        r.outcome == Outcome::kMiss)
-      worker.heard = now, trust(a.worker, !leases.list_is_valid(now) && a.sent > worker.suspected_at);
-    if (r.outcome == Outcome::kOk) came_back(a.worker, leases.accepted(a.worker, a.sent));
-    if (r.outcome == Outcome::kOk || (r.outcome == Outcome::kError && !load_failed))
-      count_answer(worker, r.outcome == Outcome::kError);
-    switch (r.outcome) {
-      case Outcome::kOk: served(f, pair, worker, a, r); break;
-      // A refusal may be meant for one function, class or tenant only, though there is room for others.
-      case Outcome::kFull: pair.full_until = now + rest(kFullRest); break;
-      case Outcome::kTimeout: jammed(worker); break;
+  void on_attempt_result(const AttemptResult& result) {
+    const auto it = open_requests.find(result.request);
+    if (it == open_requests.end() || result.attempt >= it->second.attempts.size()) return;
+    OpenRequest& open = it->second;
+    Attempt& attempt = open.attempts[result.attempt];
+    if (attempt.status != AttemptStatus::kInFlight || attempt.worker != result.worker) return;
+    Function& function = functions[open.request.function];
+    Placement& placement = function.placements[attempt.worker];
+    Worker& worker = workers[attempt.worker];
+    --worker.in_flight, --placement.in_flight, --open.in_flight;
+    const bool load_failed = result.found == Found::kLoadFailed;
+    const bool never_ran = result.outcome == Outcome::kFull || result.outcome == Outcome::kConnectFailed ||
+                           result.outcome == Outcome::kNotRun || result.outcome == Outcome::kMiss;
+    attempt.status = never_ran ? AttemptStatus::kNeverRan : AttemptStatus::kMayHaveRun;
+    if (result.outcome == Outcome::kOk || result.outcome == Outcome::kError ||
+        result.outcome == Outcome::kFull || result.outcome == Outcome::kMiss)
+      worker.last_answer = now,
+      clear_suspect(attempt.worker, !leases.list_is_valid(now) && attempt.sent_at > worker.suspected_at);
+    if (result.outcome == Outcome::kOk)
+      reset_if_restarted(attempt.worker, leases.accepted(attempt.worker, attempt.sent_at));
+    if (result.outcome == Outcome::kOk || (result.outcome == Outcome::kError && !load_failed))
+      count_answer(worker, result.outcome == Outcome::kError);
+    switch (result.outcome) {
+      case Outcome::kOk: on_served(function, placement, worker, attempt, result); break;
+      // The worker may refuse one function, class or tenant only and have room for others.
+      case Outcome::kFull: placement.cooldown_until = now + cooldown(kFullCooldown); break;
+      case Outcome::kTimeout: decrease_limit(worker); break;
       case Outcome::kMiss:
-        if (a.warm) saw_cold(f, a.worker, a.sent);
-        pair.copies = 0;
-        if (!load_failed || pair.target > 0) order(f, a.worker, std::max(1, pair.target), true);
+        if (attempt.expected_instance) on_missing_instance(function, attempt.worker, attempt.sent_at);
+        placement.known_instances = 0;
+        if (!load_failed || placement.target_instances > 0)
+          order(function, attempt.worker, std::max(1, placement.target_instances), true);
         break;
       case Outcome::kError:
-        if (load_failed) pair.copies = 0;
+        if (load_failed) placement.known_instances = 0;
         break;
-      case Outcome::kConnectFailed: suspect(a.worker, "no connection"); break;
-      case Outcome::kReset: suspect(a.worker, "connection broke"); break;
+      case Outcome::kConnectFailed: mark_suspect(attempt.worker, "connection failed"); break;
+      case Outcome::kReset: mark_suspect(attempt.worker, "connection lost"); break;
       default: break;
     }
-    if (r.terminal) o.answered = true;
-    if (o.answered)
-      cancel_rest(o);
-    else if (r.outcome == Outcome::kTimeout && now + settings.tick >= o.request.deadline)
-      settle(o);
+    if (result.terminal) open.answered = true;
+    if (open.answered)
+      cancel_in_flight(open);
+    else if (result.outcome == Outcome::kTimeout && now + settings.tick >= open.request.deadline)
+      give_final_answer(open);
     else
-      place(o);
-    discard(it);
-  }
-
-  void served(Function& f, Pair& pair, Worker& worker, const Attempt& a, const AttemptResult& r) {
-    served_weight.add(now, weight(f.request_class));
-    const bool loaded = r.found == Found::kLoaded || (r.found == Found::kNotReported && a.warm);
-    if (r.found == Found::kBeganLoad && a.warm) saw_cold(f, a.worker, a.sent);
-    pair.copies = std::max(pair.copies, 1);
-    pair.seen = now;
-    if (!loaded) return;
-    const double took = seconds(r.took);
-    if (took > kLateAt * seconds(settings.classes[f.request_class].target))
-      jammed(worker);
+      dispatch(open);
+    erase_if_done(it);
+  }
+
+  void on_served(Function& function, Placement& placement, Worker& worker, const Attempt& attempt,
+                 const AttemptResult& result) {
+    served_run_time.add(now, class_run_seconds(function.request_class));
+    const bool had_instance =
+        result.found == Found::kLoaded || (result.found == Found::kNotReported && attempt.expected_instance);
+    if (result.found == Found::kBeganLoad && attempt.expected_instance)
+      on_missing_instance(function, attempt.worker, attempt.sent_at);
+    placement.known_instances = std::max(placement.known_instances, 1);
+    placement.last_seen = now;
+    if (!had_instance) return;
+    const double took_s = seconds(result.took);
+    if (took_s > kLateAtShare * seconds(settings.classes[function.request_class].target))
+      decrease_limit(worker);
     else
-      worker.limit += 1 / worker.limit;
-    if (f.run_s.value > 0)
-      worker.slowness += kRecent * (std::clamp(took / f.run_s.value, 0.1, 10.0) - worker.slowness);
-    class_run_s[f.request_class].add(took, -1);
-    f.run_s.add(took, class_run_s[f.request_class].value);
+      worker.in_flight_limit += 1 / worker.in_flight_limit;
+    if (function.run_time_s.value > 0)
+      worker.slowness += kSlownessSampleWeight *
+                         (std::clamp(took_s / function.run_time_s.value, 0.1, 10.0) - worker.slowness);
+    class_run_time_s[function.request_class].add(took_s, -1);
+    function.run_time_s.add(took_s, class_run_time_s[function.request_class].value);
   }
 
-  // Late answers and time-outs tell of a queue at the worker, whatever made it: too much traffic, a slow
-  // core, loads, or other front ends. Fewer own calls there then keep answers in time, and the rest waits
-  // here, where it can still be refused. May hurt where calls are long by nature.
-  void jammed(Worker& worker) {
-    if (now - worker.cut_at < kCutEvery) return;
-    worker.cut_at = now;
-    worker.limit = std::max(1.0, std::min(worker.limit, worker.in_flight + 1.0) * kCutLate);
-    worker.full_until = std::max(worker.full_until, now + rest(0ns));
+  // Late answers and time-outs indicate a queue at the worker, whatever causes it: too much traffic, a slow
+  // core, loads, or other front ends. With fewer own requests in flight there, answers stay in time; the rest
+  // waits here, where it can still be refused. May cost throughput where requests run for long by nature.
+  void decrease_limit(Worker& worker) {
+    if (now - worker.limit_decreased_at < kLimitDecreaseInterval) return;
+    worker.limit_decreased_at = now;
+    worker.in_flight_limit =
+        std::max(1.0, std::min(worker.in_flight_limit, worker.in_flight + 1.0) * kLimitDecrease);
+    worker.cooldown_until = std::max(worker.cooldown_until, now + cooldown(0ns));
   }
 
-  // As long as the place would else get a part of a call from here: a front end with few calls has no other
-  // way to send less, and one with many goes by its limit.
-  Duration rest(Duration least) {
-    const double usual = kRestCalls * ready_count / std::max(requests.per_second(now), 1e-9);
-    return jittered(std::clamp(from_seconds(std::min(usual, seconds(kLongestRest))), least, kLongestRest));
+  // The time in which the worker would otherwise get `kCooldownRequests` from here: with few requests a front
+  // end has no other way to send less, and with many the limit on requests in flight does it.
+  Duration cooldown(Duration min) {
+    const double usual_s = kCooldownRequests * ready_workers / std::max(request_rate.per_second(now), 1e-9);
+    return jittered(std::clamp(from_seconds(std::min(usual_s, seconds(kMaxCooldown))), min, kMaxCooldown));
   }
 
-  void streams(RequestId id) {
-    if (auto it = open.find(id); it != open.end()) it->second.streaming = true;
+  void on_stream_started(RequestId id) {
+    if (auto it = open_requests.find(id); it != open_requests.end()) it->second.streaming = true;
   }
 
-  void abandon(RequestId id) {
-    const auto it = open.find(id);
-    if (it == open.end()) return;
+  void on_abandoned(RequestId id) {
+    const auto it = open_requests.find(id);
+    if (it == open_requests.end()) return;
     it->second.answered = true;
-    cancel_rest(it->second);
-    discard(it);
+    cancel_in_flight(it->second);
+    erase_if_done(it);
   }
 
-  void probe_answered(const ProbeResult& result) {
+  void on_probe_result(const ProbeResult& result) {
     if (!workers.contains(result.worker)) return;
     if (result.outcome == Outcome::kOk) {
-      workers[result.worker].heard = now;
-      trust(result.worker, true);
+      workers[result.worker].last_answer = now;
+      clear_suspect(result.worker, true);
     }
-    lease_answered(result);
+    on_lease_answer(result);
   }
 
-  void timer(TimerToken token) {
-    if (token == kReplanToken) {
+  void on_timer(TimerToken token) {
+    if (token == kReplanTimer) {
       replan();
-      tell_peers();
-      sink.start_timer(jittered(kReplanEvery), kReplanToken);
-    } else if (token == kSweepToken) {
+      send_rate_to_peers();
+      sink.start_timer(jittered(kReplanInterval), kReplanTimer);
+    } else if (token == kSweepTimer) {
       sweep();
-    } else if (token == kListToken) {
+    } else if (token == kSubscribeTimer) {
       sink.subscribe(true);
-    } else if (token >= kDeadlineTokens) {
-      at_deadline(static_cast<RequestId>(static_cast<std::uint32_t>(token)));
+    } else if (token >= kDeadlineTimers) {
+      on_deadline(static_cast<RequestId>(static_cast<std::uint32_t>(token)));
     }
   }
 
-  // One look, every few ticks, at what no event would tell: silence, and requests held too long.
+  // Checks what no event reports: workers that do not answer, and requests that wait for room.
   void sweep() {
-    sweeping = false;
-    std::map<WorkerId, Time> oldest;
-    bool held = false;
-    for (auto& [id, o] : open) {
-      held |= !o.answered && o.out == 0;
-      for (const Attempt& a : o.attempts)
-        if (a.fate == Fate::kOut && a.warm && !a.cancelled) {
-          auto [it, fresh] = oldest.try_emplace(a.worker, a.sent);
-          it->second = std::min(it->second, a.sent);
+    sweep_scheduled = false;
+    std::map<WorkerId, Time> oldest_sent;
+    bool any_waiting = false;
+    for (auto& [id, open] : open_requests) {
+      any_waiting |= !open.answered && open.in_flight == 0;
+      for (const Attempt& attempt : open.attempts)
+        if (attempt.status == AttemptStatus::kInFlight && attempt.expected_instance && !attempt.cancelled) {
+          auto [it, added] = oldest_sent.try_emplace(attempt.worker, attempt.sent_at);
+          it->second = std::min(it->second, attempt.sent_at);
         }
     }
-    double usual = 0.2;
-    for (const Mean& run : class_run_s) usual = std::max(usual, run.value);
+    double usual_s = 0.2;
+    for (const Mean& run_time_s : class_run_time_s) usual_s = std::max(usual_s, run_time_s.value);
     bool any_suspect = false;
-    for (auto& [id, worker] : workers) {  // a long call or a jam is no silence: it is asked first
-      const auto sent = oldest.find(id);
+    // A worker that is only slow or overloaded must not become suspect, so it is probed first.
+    for (auto& [id, worker] : workers) {
+      const auto sent = oldest_sent.find(id);
       any_suspect |= worker.suspect && ready(worker);
-      if (!ready(worker) || (!worker.suspect && sent == oldest.end())) continue;
-      const Time quiet = worker.suspect ? now : std::max(worker.heard, sent->second);
-      const bool silent = now - quiet > kSilence + from_seconds(usual);
-      if (worker.suspect ? now - worker.asked > kAskSuspectEvery : silent && worker.asked < quiet)
-        ask(id, worker);
-      else if (silent && now - worker.asked > kAskWait)
-        suspect(id, "silent");
+      if (!ready(worker) || (!worker.suspect && sent == oldest_sent.end())) continue;
+      const Time quiet_since = worker.suspect ? now : std::max(worker.last_answer, sent->second);
+      const bool unresponsive = now - quiet_since > kUnresponsiveAfter + from_seconds(usual_s);
+      if (worker.suspect ? now - worker.probed_at > kSuspectProbeInterval
+                         : unresponsive && worker.probed_at < quiet_since)
+        probe_worker(id, worker);
+      else if (unresponsive && now - worker.probed_at > kProbeTimeout)
+        mark_suspect(id, "unresponsive");
     }
-    for (auto& [id, o] : open)  // what may have run and may not run twice waits
-      if (!o.answered && class_of(o.request).semantics != Semantics::kOnce &&
-          std::all_of(o.attempts.begin(), o.attempts.end(),
-                      [&](auto& a) { return a.fate != Fate::kOut || workers[a.worker].suspect; }))
-        cancel_rest(o);
-    if (held) release_held();
-    if (!open.empty() || any_suspect) start_sweep();
-  }
-
-  void start_sweep() {
-    if (!std::exchange(sweeping, true)) sink.start_timer(kSweepEvery, kSweepToken);
-  }
-
-  // A sign of life that puts no load on the worker. Asked for a copy that should stand, it also tells a
-  // restart, which emptied it, from a broken connection, a pause or a lost answer, which did not.
-  void ask(WorkerId id, Worker& worker) {
-    worker.asked = now;
-    std::optional<FunctionId> about;
-    Time latest{};  // the copy last seen is the least likely to have been pushed out
-    for (auto& [fid, f] : functions) {
-      const auto p = f.pairs.find(id);
-      const bool stands = p != f.pairs.end() && believed_warm(p->second) && !p->second.ordered;
-      if (!about || (stands && p->second.seen > latest)) about = fid;
-      if (stands) latest = std::max(latest, p->second.seen);
+    // Requests that may run again leave suspect workers; one that may have run and must not run twice waits.
+    for (auto& [id, open] : open_requests)
+      if (!open.answered && class_of(open.request).semantics != Semantics::kOnce &&
+          std::all_of(open.attempts.begin(), open.attempts.end(), [&](auto& attempt) {
+            return attempt.status != AttemptStatus::kInFlight || workers[attempt.worker].suspect;
+          }))
+        cancel_in_flight(open);
+    if (any_waiting) dispatch_waiting();
+    if (!open_requests.empty() || any_suspect) schedule_sweep();
+  }
+
+  void schedule_sweep() {
+    if (!std::exchange(sweep_scheduled, true)) sink.start_timer(kSweepInterval, kSweepTimer);
+  }
+
+  // Asks for a sign of life without loading anything. A query for an instance that should be there also tells
+  // a restart, which loses it, from a broken connection, a pause or a lost answer, which do not.
+  void probe_worker(WorkerId id, Worker& worker) {
+    worker.probed_at = now;
+    std::optional<FunctionId> function_to_query;
+    Time last_seen{};  // the instance seen last is the least likely to have been evicted
+    for (auto& [function_id, function] : functions) {
+      const auto it = function.placements.find(id);
+      const bool expected =
+          it != function.placements.end() && has_known_instance(it->second) && !it->second.ordered_instances;
+      if (!function_to_query || (expected && it->second.last_seen > last_seen))
+        function_to_query = function_id;
+      if (expected) last_seen = std::max(last_seen, it->second.last_seen);
     }
-    if (settings.instances.orders && about)
-      sink.hold(id, *about, 0);
+    if (settings.instances.orders && function_to_query)
+      sink.hold(id, *function_to_query, 0);
     else if (settings.bounds.probes)
       sink.probe(id);
     else
-      worker.suspect = false;  // no way to ask: the next request tries
+      worker.suspect = false;  // it cannot be probed: the next request tries it
   }
 
-  void cancel_rest(Open& o) {
-    if (!settings.bounds.may_cancel || o.streaming) return;
-    for (std::size_t i = 0; i < o.attempts.size(); ++i)
-      if (o.attempts[i].fate == Fate::kOut && !std::exchange(o.attempts[i].cancelled, true))
-        sink.cancel(o.request.id, static_cast<AttemptNumber>(i));
+  void cancel_in_flight(OpenRequest& open) {
+    if (!settings.bounds.may_cancel || open.streaming) return;
+    for (std::size_t i = 0; i < open.attempts.size(); ++i)
+      if (open.attempts[i].status == AttemptStatus::kInFlight &&
+          !std::exchange(open.attempts[i].cancelled, true))
+        sink.cancel(open.request.id, static_cast<AttemptNumber>(i));
   }
 
-  void discard(std::map<RequestId, Open>::iterator it) {
-    if (it->second.answered && it->second.out == 0) open.erase(it);
+  void erase_if_done(std::map<RequestId, OpenRequest>::iterator it) {
+    if (it->second.answered && it->second.in_flight == 0) open_requests.erase(it);
   }
 
   // ---- Rules ------------------------------------------------------------------------------------
 
-  // Rule 2, where the next attempt may go at all.
-  bool may_attempt(const Open& o) const {
-    if (o.attempts.size() >= static_cast<std::size_t>(std::max(1, settings.bounds.attempts_cap)))
+  // Rule 2, for any worker: whether another attempt is allowed at all.
+  bool may_attempt(const OpenRequest& open) const {
+    if (open.attempts.size() >= static_cast<std::size_t>(std::max(1, settings.bounds.attempts_cap)))
       return false;
-    if (o.out > 0 || now >= o.request.deadline) return false;  // one attempt at a time
-    return never_ran(o) || class_of(o.request).semantics != Semantics::kOnce;
+    if (open.in_flight > 0 || now >= open.request.deadline) return false;  // one attempt at a time
+    return never_ran(open) || class_of(open.request).semantics != Semantics::kOnce;
   }
 
-  static bool never_ran(const Open& o) {
-    return std::all_of(o.attempts.begin(), o.attempts.end(),
-                       [](auto& a) { return a.fate == Fate::kNeverRan; });
+  static bool never_ran(const OpenRequest& open) {
+    return std::all_of(open.attempts.begin(), open.attempts.end(),
+                       [](auto& attempt) { return attempt.status == AttemptStatus::kNeverRan; });
   }
 
-  // Of its first `count` attempts.
-  static const Attempt* first_that_may_have_run(const Open& o, std::size_t count) {
-    const auto end = o.attempts.begin() + static_cast<std::ptrdiff_t>(count);
-    const auto it =
-        std::find_if(o.attempts.begin(), end, [](const Attempt& a) { return a.fate != Fate::kNeverRan; });
+  // Among its first `count` attempts.
+  static const Attempt* first_that_may_have_run(const OpenRequest& open, std::size_t count) {
+    const auto end = open.attempts.begin() + static_cast<std::ptrdiff_t>(count);
+    const auto it = std::find_if(open.attempts.begin(), end, [](const Attempt& attempt) {
+      return attempt.status != AttemptStatus::kNeverRan;
+    });
     return it == end ? nullptr : &*it;
   }
 
-  // Rule 2, in time: workers drop repeats of a keyed request for so long after its first attempt.
-  bool within_repeat_window(const Open& o, const Attempt& first) const {
-    return now + settings.tick < first.sent + class_of(o.request).repeat_window;
+  // Rule 2, in time: workers drop repeats of a keyed request for this long after its first attempt.
+  bool within_repeat_window(const OpenRequest& open, const Attempt& first) const {
+    return now + settings.tick < first.sent_at + class_of(open.request).repeat_window;
   }
 
   // Rules 2 and 4, for one worker.
-  bool may_send(const Open& o, Worker& worker) {
-    const RequestClass& c = class_of(o.request);
-    const Attempt* const ran = first_that_may_have_run(o, o.attempts.size());
-    if (c.semantics == Semantics::kKeyed && ran) {
-      const WorkerEntry& first = workers[ran->worker].entry;
-      if (!within_repeat_window(o, *ran)) return false;
-      if (c.group == RepeatGroup::kZone && first.zone != worker.entry.zone) return false;
-      if (c.group == RepeatGroup::kCell && first.cell != worker.entry.cell) return false;
+  bool may_send_to(const OpenRequest& open, Worker& worker) {
+    const RequestClass& request_class = class_of(open.request);
+    const Attempt* const first = first_that_may_have_run(open, open.attempts.size());
+    if (request_class.semantics == Semantics::kKeyed && first) {
+      const WorkerEntry& first_entry = workers[first->worker].entry;
+      if (!within_repeat_window(open, *first)) return false;
+      if (request_class.group == RepeatGroup::kZone && first_entry.zone != worker.entry.zone) return false;
+      if (request_class.group == RepeatGroup::kCell && first_entry.cell != worker.entry.cell) return false;
     }
-    return cold_budget(worker, weight(o.request.request_class));
+    return within_cold_budget(worker, class_run_seconds(open.request.request_class));
   }
 
-  // Rules 1 and 2, for the time at which the bytes of an attempt leave that has waited since it was decided.
+  // Rules 1 and 2, for the moment at which the bytes of an attempt are sent, some time after the decision.
   bool may_be_sent(RequestId id, AttemptNumber number) const {
-    const auto it = open.find(id);
-    if (it == open.end() || number >= it->second.attempts.size()) return false;
-    const Open& o = it->second;
-    if (o.answered || now >= o.request.deadline) return false;
-    const Attempt* const ran = first_that_may_have_run(o, number);
-    return class_of(o.request).semantics != Semantics::kKeyed || !ran || within_repeat_window(o, *ran);
-  }
-
-  // A worker that starts. Credit begins at a random part of a call, so that the first calls of many front
-  // ends with few each are spread as evenly as those of one with many.
-  void chill(Worker& worker, Time since) {
+    const auto it = open_requests.find(id);
+    if (it == open_requests.end() || number >= it->second.attempts.size()) return false;
+    const OpenRequest& open = it->second;
+    if (open.answered || now >= open.request.deadline) return false;
+    const Attempt* const first = first_that_may_have_run(open, number);
+    return class_of(open.request).semantics != Semantics::kKeyed || !first ||
+           within_repeat_window(open, *first);
+  }
+
+  // The worker starts, or restarted, at `since`. Its budget begins with a random part of a request, so that
+  // the first requests of many front ends with few each are spread as evenly as those of one with many.
+  void mark_cold(Worker& worker, Time since) {
     worker.cold_since = since;
-    worker.credit = random.unit() * weight(0);
-    worker.credit_at = now;
-  }
-
-  // Rule 4. What a warm worker bears is measured by what this front end has had served, per ready worker:
-  // sends would count retries and refusals too, and grow just when the fleet cannot bear more. Each front
-  // end gives a cold worker at most its share of that, so the sum over unseen front ends is in proportion.
-  bool cold_budget(Worker& worker, double w) {
-    const double share = warmth(worker);
-    if (share >= 1) return true;
-    const double limit = (crowd > kMany ? kColdLimitOfMany : kColdLimit) * settings.rules.overload_multiple;
-    const double rate = served_weight.per_second(now) / ready_count * share * limit;
-    const double most = std::max(w * 1.001, rate * seconds(settings.rules.overload_duration));
-    worker.credit = std::min(most, worker.credit + rate * seconds(now - worker.credit_at));
-    worker.credit_at = now;
-    return worker.credit >= w;
-  }
-
-  bool may_refuse(const Open& o) const {
-    const RequestClass& c = class_of(o.request);
-    const bool everywhere = c.semantics == Semantics::kKeyed && c.group == RepeatGroup::kAll;
-    return c.semantics == Semantics::kRepeatable || everywhere || never_ran(o);
-  }
-
-  // When to come back: a short part of the aim, in which some room comes free. Longer, and an answer that
-  // could still be in time is not.
-  Duration advice(const Open& o) const {
-    const Duration some = from_seconds(kBackAfter * seconds(class_of(o.request).target));
-    return settings.bounds.retry_after ? std::min(some, settings.bounds.max_retry_after) : 0ns;
-  }
-
-  // Rule 1. The only place that gives a final answer: a refusal where that is true, a failure otherwise.
-  void settle(Open& o) {
-    if (std::exchange(o.answered, true)) return;
-    if (may_refuse(o))
-      sink.refuse(o.request.id, advice(o));
+    worker.cold_budget_s = random.unit() * class_run_seconds(0);
+    worker.cold_budget_at = now;
+  }
+
+  // Rule 4, as a token bucket of run time. A warm worker's usual load is measured by what workers served this
+  // front end, per ready worker: sends would also count retries and refusals, which grow just when the fleet
+  // is short of room. Each front end sends a cold worker at most its share of the own usual load, so that the
+  // sum over all front ends, which do not see each other, is in proportion.
+  bool within_cold_budget(Worker& worker, double run_s) {
+    const double capacity = capacity_share(worker);
+    if (capacity >= 1) return true;
+    const double multiple =
+        (traffic_ratio > kManyFrontEnds ? kColdShareOfMany : kColdShare) * settings.rules.overload_multiple;
+    const double budget_rate = served_run_time.per_second(now) / ready_workers * capacity * multiple;
+    const double max_budget_s =
+        std::max(run_s * 1.001, budget_rate * seconds(settings.rules.overload_duration));
+    worker.cold_budget_s =
+        std::min(max_budget_s, worker.cold_budget_s + budget_rate * seconds(now - worker.cold_budget_at));
+    worker.cold_budget_at = now;
+    return worker.cold_budget_s >= run_s;
+  }
+
+  // A refusal says that a repeat by the client is safe.
+  bool may_refuse(const OpenRequest& open) const {
+    const RequestClass& request_class = class_of(open.request);
+    const bool repeats_dropped_everywhere =
+        request_class.semantics == Semantics::kKeyed && request_class.group == RepeatGroup::kAll;
+    return request_class.semantics == Semantics::kRepeatable || repeats_dropped_everywhere || never_ran(open);
+  }
+
+  // A short part of the target, in which some room is likely to come free. After a longer delay the answer
+  // would be late.
+  Duration retry_after(const OpenRequest& open) const {
+    const Duration delay = from_seconds(kRetryAfterShare * seconds(class_of(open.request).target));
+    return settings.bounds.retry_after ? std::min(delay, settings.bounds.max_retry_after) : 0ns;
+  }
+
+  // Rule 1. The only place that gives final answers: a refusal where that is allowed, else a failure.
+  void give_final_answer(OpenRequest& open) {
+    if (std::exchange(open.answered, true)) return;
+    if (may_refuse(open))
+      sink.refuse(open.request.id, retry_after(open));
     else
-      sink.fail(o.request.id);
-    cancel_rest(o);
+      sink.fail(open.request.id);
+    cancel_in_flight(open);
   }
 
-  void at_deadline(RequestId id) {
-    const auto it = open.find(id);
-    if (it == open.end()) return;
-    if (!it->second.streaming) settle(it->second);
-    discard(it);
+  void on_deadline(RequestId id) {
+    const auto it = open_requests.find(id);
+    if (it == open_requests.end()) return;
+    if (!it->second.streaming) give_final_answer(it->second);
+    erase_if_done(it);
   }
 };
 
@@ -1084,17 +1203,21 @@
 Dispatcher::~Dispatcher() = default;
 
 void Dispatcher::on(Time now, const ListUpdate& update) { state_->at(now).update_list(update); }
-void Dispatcher::on(Time now, const ListFreshness& freshness) { state_->at(now).list_freshness(freshness); }
-void Dispatcher::on(Time now, const Request& request) { state_->at(now).take(request); }
-void Dispatcher::on(Time now, const AttemptResult& result) { state_->at(now).returned(result); }
-void Dispatcher::on(Time now, const StreamStarted& started) { state_->at(now).streams(started.request); }
+void Dispatcher::on(Time now, const ListFreshness& freshness) {
+  state_->at(now).update_list_freshness(freshness);
+}
+void Dispatcher::on(Time now, const Request& request) { state_->at(now).on_request(request); }
+void Dispatcher::on(Time now, const AttemptResult& result) { state_->at(now).on_attempt_result(result); }
+void Dispatcher::on(Time now, const StreamStarted& started) {
+  state_->at(now).on_stream_started(started.request);
+}
 void Dispatcher::on(Time now, const RequestAbandoned& abandoned) {
-  state_->at(now).abandon(abandoned.request);
+  state_->at(now).on_abandoned(abandoned.request);
 }
-void Dispatcher::on(Time now, const HoldResult& result) { state_->at(now).hold_answered(result); }
-void Dispatcher::on(Time now, const ProbeResult& result) { state_->at(now).probe_answered(result); }
-void Dispatcher::on(Time now, const PeerMessage& message) { state_->at(now).peer_told(message); }
-void Dispatcher::on(Time now, const TimerFired& timer) { state_->at(now).timer(timer.token); }
+void Dispatcher::on(Time now, const HoldResult& result) { state_->at(now).on_hold_result(result); }
+void Dispatcher::on(Time now, const ProbeResult& result) { state_->at(now).on_probe_result(result); }
+void Dispatcher::on(Time now, const PeerMessage& message) { state_->at(now).on_peer_message(message); }
+void Dispatcher::on(Time now, const TimerFired& timer) { state_->at(now).on_timer(timer.token); }
 bool Dispatcher::may_start_work(Time now, WorkerId worker) const {
   return state_->at(now).may_start_work(worker);
 }
--- a/src/policy/worker_lease.cpp
+++ b/src/policy/worker_lease.cpp
@@ -8,83 +8,83 @@
 
 using namespace std::chrono_literals;
 
-// Between the decision and the first byte: a late loop, a slow write. At most a quarter of a short grace.
+// From the decision to the first byte: a late event loop, a slow write. At most a quarter of a short grace.
 constexpr Duration kSendMargin = 100ms;
-constexpr Duration kAskAgainAfter = 1s;  // a worker that refused, or did not answer
+constexpr Duration kProbeCooldown = 1s;  // after a refused or unanswered probe
 
 }  // namespace
 
 WorkerLeases::WorkerLeases(Duration drain_grace)
     : term_(drain_grace - std::min(kSendMargin, drain_grace / 4)) {}
 
-Time WorkerLeases::list_ends() const {
+Time WorkerLeases::list_end() const {
   return list_current_until_ == Time::max() ? Time::max() : list_current_until_ + term_;
 }
 
-Time WorkerLeases::ends(WorkerId worker) const {
-  const Time by_list = list_ends();
+Time WorkerLeases::end_of(WorkerId worker) const {
+  const Time end_by_list = list_end();
   const auto it = entries_.find(worker);
-  if (it == entries_.end() || !it->second.accepted) return by_list;
-  return std::max(by_list, *it->second.accepted + term_);
+  if (it == entries_.end() || !it->second.accepted_sent_at) return end_by_list;
+  return std::max(end_by_list, *it->second.accepted_sent_at + term_);
 }
 
-bool WorkerLeases::may_be_asked(WorkerId worker, Time now) const {
+bool WorkerLeases::may_be_probed(WorkerId worker, Time now) const {
   const auto it = entries_.find(worker);
-  return it == entries_.end() || !it->second.rests_until || now >= *it->second.rests_until;
+  return it == entries_.end() || !it->second.cooldown_until || now >= *it->second.cooldown_until;
 }
 
-bool WorkerLeases::ask(WorkerId worker, Time now) {
-  if (questions_ >= kMostQuestions || !may_be_asked(worker, now)) return false;
+bool WorkerLeases::start_probe(WorkerId worker, Time now) {
+  if (probes_in_flight_ >= kMaxProbesInFlight || !may_be_probed(worker, now)) return false;
   Entry& entry = entries_[worker];
-  if (entry.asked) return false;
-  entry.asked = true;
-  ++questions_;
+  if (entry.probe_in_flight) return false;
+  entry.probe_in_flight = true;
+  ++probes_in_flight_;
   ++counters_.asked;
   return true;
 }
 
-void WorkerLeases::end_question(Entry& entry) {
-  if (!entry.asked) return;
-  entry.asked = false;
-  --questions_;
+void WorkerLeases::end_probe(Entry& entry) {
+  if (!entry.probe_in_flight) return;
+  entry.probe_in_flight = false;
+  --probes_in_flight_;
 }
 
-bool WorkerLeases::accepted(WorkerId worker, Time sent) {
+bool WorkerLeases::accepted(WorkerId worker, Time sent_at) {
   Entry& entry = entries_[worker];
-  if (entry.refused && sent <= *entry.refused) return false;  // of before the refusal
-  entry.accepted = std::max(entry.accepted.value_or(sent), sent);
-  entry.rests_until.reset();
-  return std::exchange(entry.doubted, false);
+  if (entry.refused_sent_at && sent_at <= *entry.refused_sent_at) return false;  // sent before the refusal
+  entry.accepted_sent_at = std::max(entry.accepted_sent_at.value_or(sent_at), sent_at);
+  entry.cooldown_until.reset();
+  return std::exchange(entry.may_have_restarted, false);
 }
 
-bool WorkerLeases::said_ready(WorkerId worker, Time sent) {
-  end_question(entries_[worker]);
+bool WorkerLeases::probe_accepted(WorkerId worker, Time sent_at) {
+  end_probe(entries_[worker]);
   ++counters_.ready;
-  return accepted(worker, sent);
+  return accepted(worker, sent_at);
 }
 
-void WorkerLeases::refused(WorkerId worker, Time sent, Time now) {
+void WorkerLeases::probe_refused(WorkerId worker, Time sent_at, Time now) {
   Entry& entry = entries_[worker];
-  end_question(entry);
+  end_probe(entry);
   ++counters_.refused;
-  entry.refused = std::max(entry.refused.value_or(sent), sent);
-  if (entry.accepted && *entry.accepted <= sent) entry.accepted.reset();
-  entry.rests_until = now + kAskAgainAfter;
-  entry.doubted = true;
+  entry.refused_sent_at = std::max(entry.refused_sent_at.value_or(sent_at), sent_at);
+  if (entry.accepted_sent_at && *entry.accepted_sent_at <= sent_at) entry.accepted_sent_at.reset();
+  entry.cooldown_until = now + kProbeCooldown;
+  entry.may_have_restarted = true;
 }
 
-void WorkerLeases::unanswered(WorkerId worker, Time now) {
+void WorkerLeases::probe_unanswered(WorkerId worker, Time now) {
   Entry& entry = entries_[worker];
-  end_question(entry);
+  end_probe(entry);
   ++counters_.unanswered;
-  entry.rests_until = now + kAskAgainAfter;
-  entry.doubted = true;
+  entry.cooldown_until = now + kProbeCooldown;
+  entry.may_have_restarted = true;
 }
 
 void WorkerLeases::forget(WorkerId worker) {
   const auto it = entries_.find(worker);
   if (it == entries_.end()) return;
-  end_question(it->second);
+  end_probe(it->second);
   entries_.erase(it);
 }
 
