--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,4 +1,5 @@
-// Makes a dispatcher, feeds it a list, a request and its outcome, and checks what it asked for.
+// Builds against the installed package: gives a dispatcher a worker list, a request and its result, and
+// checks the actions.
 #include <laureltide/dispatcher.h>
 
 #include <cstdio>
@@ -11,10 +12,10 @@
 
 class Recorder : public lt::ActionSink {
  public:
-  void send(lt::RequestId, lt::WorkerId worker, lt::Duration) override { sent.push_back(worker); }
+  void send(lt::RequestId, lt::WorkerId worker, lt::Duration) override { sent_to.push_back(worker); }
   void cancel(lt::RequestId, lt::AttemptNumber) override {}
-  void refuse(lt::RequestId, lt::Duration) override { ++ended; }
-  void fail(lt::RequestId) override { ++ended; }
+  void refuse(lt::RequestId, lt::Duration) override { ++final_answers; }
+  void fail(lt::RequestId) override { ++final_answers; }
   void hold(lt::WorkerId, lt::FunctionId, int) override {}
   void release(lt::WorkerId, lt::FunctionId) override {}
   void probe(lt::WorkerId) override {}
@@ -24,12 +25,12 @@
   void send_to_peer(std::optional<std::uint32_t>, std::span<const std::byte>) override {}
   void log(std::string_view) override {}
 
-  std::vector<lt::WorkerId> sent;
-  int ended = 0, timers = 0;
+  std::vector<lt::WorkerId> sent_to;
+  int final_answers = 0, timers = 0;
 };
 
-bool expect(bool holds, const char* what) {
-  if (!holds) std::fprintf(stderr, "not so: %s\n", what);
+bool expect(bool holds, const char* expectation) {
+  if (!holds) std::fprintf(stderr, "failed: %s\n", expectation);
   return holds;
 }
 
@@ -62,10 +63,10 @@
   result.terminal = true;
   dispatcher.on(start + 50ms, result);
 
-  const bool good =
-      expect(actions.sent == std::vector{lt::WorkerId{11}}, "the request went to the only worker") &
-      expect(actions.ended == 0, "a served request gets no further answer") &
-      expect(actions.timers > 0, "timers were asked for");
-  std::puts(good ? "consumer: as expected" : "consumer: failed");
-  return good ? 0 : 1;
+  const bool passed =
+      expect(actions.sent_to == std::vector{lt::WorkerId{11}}, "the request went to the only worker") &
+      expect(actions.final_answers == 0, "a served request gets no other answer") &
+      expect(actions.timers > 0, "timers were started");
+  std::puts(passed ? "consumer: as expected" : "consumer: failed");
+  return passed ? 0 : 1;
 }
--- a/tests/gateway_fixture.h
+++ b/tests/gateway_fixture.h
@@ -1,5 +1,5 @@
-// A whole loopback world in virtual time: broker, list, workers, a gateway and a caller. Every interleaving
-// is decided by the seed; nothing sleeps.
+// A gateway with stand-ins of the broker, list service, workers and caller, on a simulated network in virtual
+// time. The seed decides every interleaving; nothing sleeps.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -46,9 +46,9 @@
   }
   void on_line(controller::LogLevel, const std::string& line) override { lines.push_back(line); }
   void keep_list(const std::string& json) override { kept_list = json; }
-  bool contains(const std::string& part) const {
+  bool contains(const std::string& text) const {
     return std::any_of(lines.begin(), lines.end(),
-                       [&](auto& l) { return l.find(part) != std::string::npos; });
+                       [&](auto& l) { return l.find(text) != std::string::npos; });
   }
 };
 
@@ -137,7 +137,7 @@
   std::unique_ptr<standin::Caller> caller;
   io::Address broker_at{"127.0.0.1", 5672}, list_at{"127.0.0.1", 7000};
   std::uint32_t first_request = 1;
-  int named = 0;
+  int calls_named = 0;
 
   explicit GatewayFixture(int count = 2, std::uint64_t seed = 1,
                           std::shared_ptr<const config::Settings> with = settings(),
@@ -184,8 +184,8 @@
     if (with_ledger) {
       store = std::make_unique<store::MemoryStore>(net, disk);
       book = std::make_unique<ledger::Book>(net, *store, book_options);
-      const auto bad = book->load();
-      ASSERT_FALSE(bad) << *bad;
+      const auto error = book->load();
+      ASSERT_FALSE(error) << *error;
       book->on_step = [this](const char* step) {
         steps.emplace_back(step);
         if (on_step) on_step(step);
@@ -194,7 +194,7 @@
     gateway = std::make_unique<controller::Gateway>(net, config, log, seed, first_request, book.get());
     gateway->start();
   }
-  // As kill -9: nothing that had not left is sent, nothing that was not on disk is kept.
+  // As by kill -9: unsent bytes are lost, and so is what was not on disk.
   void kill_gateway() { gateway.reset(), book.reset(), store.reset(); }
   std::vector<std::string> steps;
   std::function<void(const char*)> on_step;
@@ -204,7 +204,7 @@
     ASSERT_TRUE(net.run_until([&] { return caller->ready() && broker.consumers("calls") == 1; }));
   }
   std::string call(const std::string& function, standin::CallToMake c = {}) {
-    if (c.name.empty()) c.name = function + "-" + std::to_string(++named);
+    if (c.name.empty()) c.name = function + "-" + std::to_string(++calls_named);
     c.function = function;
     if (c.body.empty()) c.body = "payload of " + c.name;
     if (function == "status" && c.key.empty()) c.key = c.name;
@@ -212,8 +212,8 @@
     return c.name;
   }
   std::size_t answers(const std::string& name) const { return caller->answers().count(name); }
-  bool wait_answer(const std::string& name, Duration most = 20s) {
-    return net.run_until([&] { return answers(name) > 0; }, most);
+  bool wait_answer(const std::string& name, Duration timeout = 20s) {
+    return net.run_until([&] { return answers(name) > 0; }, timeout);
   }
   std::string outcome(const std::string& name) const {
     const auto it = caller->answers().find(name);
