--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -164,6 +164,7 @@
   Time cooldown_until{};           // after a refusal, or a lack of memory for another instance
 };
 
+// A function of which requests came, and its placements on workers.
 struct Function {
   FunctionId id{};
   ClassIndex request_class = 0;
@@ -175,6 +176,7 @@
   std::map<WorkerId, Placement> placements;
 };
 
+// What is known and estimated of a worker as a whole.
 struct Worker {
   WorkerEntry entry;
   bool listed = false;   // the list held has its entry
@@ -196,6 +198,7 @@
   double free_slots = 0;
 };
 
+// Limits the requests of one tenant to its share.
 struct TokenBucket {
   double tokens = 0;
   Time updated_at{};
@@ -211,6 +214,7 @@
   bool cancelled = false;
 };
 
+// A request that waits, is in flight, or was answered while attempts are still in flight.
 struct OpenRequest {
   Request request;
   Time arrived_at{};
@@ -262,7 +266,7 @@
   Duration jittered(Duration d) {
     return from_seconds(seconds(d) * (1 + kJitterShare * (2 * random.unit() - 1)));
   }
-  State& at(Time time) {
+  State& advance_to(Time time) {
     now = std::max(now, time);
     return *this;
   }
@@ -296,8 +300,9 @@
       if (!worker.listed) worker.entry.state = WorkerState::kGone;
       if (worker.entry.state == WorkerState::kGone) clear_placements(id);
     }
-    const auto n = std::count_if(workers.begin(), workers.end(), [&](auto& w) { return ready(w.second); });
-    ready_workers = std::max(ready_workers, static_cast<double>(n));
+    const auto ready_count =
+        std::count_if(workers.begin(), workers.end(), [&](auto& w) { return ready(w.second); });
+    ready_workers = std::max(ready_workers, static_cast<double>(ready_count));
   }
 
   void update_list_freshness(const ListFreshness& freshness) {
@@ -306,8 +311,8 @@
     if (!was_valid && leases.list_is_valid(now)) dispatch_waiting();
   }
 
-  // Rule 3, for the moment at which something new starts at the worker. While discovery is out of reach it
-  // may have announced a drain that this front end has not seen.
+  // Rule 3, for the moment at which something new starts at the worker. While discovery is out of reach this
+  // front end may have missed the notice of a drain, so the lease is checked too.
   bool may_start_work(WorkerId id) const {
     const auto it = workers.find(id);
     return it != workers.end() && ready(it->second) && leases.holds(id, now);
@@ -391,6 +396,8 @@
 
   // ---- Demand -----------------------------------------------------------------------------------
 
+  // Expected run time of the function's requests: as measured for it, else for its class, else from the
+  // target.
   double run_seconds(const Function& function) const {
     if (function.run_time_s.value > 0) return function.run_time_s.value;
     if (class_run_time_s[function.request_class].value > 0)
@@ -403,6 +410,7 @@
     return function.work_s.value > 0 ? function.work_s.value : run_seconds(function);
   }
 
+  // Learns the function's properties and its demand from a request.
   void update_function(const Request& request) {
     auto [it, added] = functions.try_emplace(request.function);
     Function& function = it->second;
@@ -422,7 +430,7 @@
     }
   }
 
-  // Counts the request; whether it is beyond its tenant's share, where it is worth little. This front end's
+  // Counts the request. True if it is beyond its tenant's share, where it is worth little. This front end's
   // part of a quota is its part of all requests as peers report them, or an equal one without reports.
   // Without reports it is never so small that most of the own traffic, which may be most of all, counts as
   // over.
@@ -457,7 +465,8 @@
         sink.send_to_peer(peer, bytes);
   }
 
-  // Compares the own request rate with the mean of the peers' reports; without any, all count as equal.
+  // Compares the own request rate with the mean of the peers' reports; without any, all front ends count as
+  // equally busy. Also adapts the rates' decay time to the own request rate.
   void update_traffic_ratio() {
     const double own_rate = request_rate.per_second(now);
     decay_s = std::clamp(kRequestsToEstimate / std::max(own_rate, 1e-9), seconds(kMinDecayTime),
@@ -492,10 +501,12 @@
 
   // ---- Estimated instances ------------------------------------------------------------------------
 
+  // An instance was seen there, and its keep-alive cannot have ended.
   bool has_known_instance(const Placement& placement) const {
     return placement.known_instances > 0 &&
            (placement.in_flight > 0 || now - placement.last_seen < settings.instances.keep_alive);
   }
+  // An order is in flight and does not count as lost.
   bool loading(const Placement& placement) const {
     return placement.ordered_instances > 0 && now - placement.ordered_at < kOrderLostAfter;
   }
@@ -508,6 +519,7 @@
       if (id == at || (placement.last_seen <= sent_at && !placement.in_flight)) placement.known_instances = 0;
   }
 
+  // Takes the worker out of planning and routing until it answers again; the sweep probes it.
   void mark_suspect(WorkerId id, const char* why) {
     Worker& worker = workers[id];
     if (worker.suspect) return;
@@ -530,6 +542,7 @@
 
   // ---- Greedy plan ------------------------------------------------------------------------------
 
+  // Places as much of the function's load on the worker as the worker can take.
   void assign(Function& function, WorkerId id, Worker& worker) {
     const double lanes = std::min(worker.free_lanes, function.unplaced_lanes);
     const double instances = std::min({std::ceil(lanes / function.lanes), std::floor(worker.free_slots),
@@ -561,6 +574,8 @@
     });
   }
 
+  // Sets the targets: estimates each function's load in busy lanes, shares the capacity among the workers,
+  // and matches both greedily, the function with the most unplaced load first.
   void replan() {
     forget_unused();
     update_traffic_ratio();
@@ -616,9 +631,9 @@
         return a->unplaced_lanes < b->unplaced_lanes;
       });
       if (function == planned.end() || (*function)->unplaced_lanes <= 1e-9) break;
-      // The paper maximises min(worker flow, function flow), so all workers that can take the whole function
-      // tie. Ties go to the highest rendezvous rank, so that front ends share instances without
-      // communication.
+      // The paper maximises min(worker flow, function flow), here free and unplaced lanes, so all workers
+      // that can take the whole function tie. Ties go to the highest rendezvous rank, so that front ends
+      // share instances without communication.
       const std::pair<WorkerId, Worker*>* best = nullptr;
       auto rank = [&](const std::pair<WorkerId, Worker*>& candidate) {
         return std::tuple(std::min(candidate.second->free_lanes, (*function)->unplaced_lanes),
@@ -1202,27 +1217,31 @@
     : state_(std::make_unique<State>(std::move(settings), seed, start, sink)) {}
 Dispatcher::~Dispatcher() = default;
 
-void Dispatcher::on(Time now, const ListUpdate& update) { state_->at(now).update_list(update); }
+void Dispatcher::on(Time now, const ListUpdate& update) { state_->advance_to(now).update_list(update); }
 void Dispatcher::on(Time now, const ListFreshness& freshness) {
-  state_->at(now).update_list_freshness(freshness);
+  state_->advance_to(now).update_list_freshness(freshness);
+}
+void Dispatcher::on(Time now, const Request& request) { state_->advance_to(now).on_request(request); }
+void Dispatcher::on(Time now, const AttemptResult& result) {
+  state_->advance_to(now).on_attempt_result(result);
 }
-void Dispatcher::on(Time now, const Request& request) { state_->at(now).on_request(request); }
-void Dispatcher::on(Time now, const AttemptResult& result) { state_->at(now).on_attempt_result(result); }
 void Dispatcher::on(Time now, const StreamStarted& started) {
-  state_->at(now).on_stream_started(started.request);
+  state_->advance_to(now).on_stream_started(started.request);
 }
 void Dispatcher::on(Time now, const RequestAbandoned& abandoned) {
-  state_->at(now).on_abandoned(abandoned.request);
+  state_->advance_to(now).on_abandoned(abandoned.request);
+}
+void Dispatcher::on(Time now, const HoldResult& result) { state_->advance_to(now).on_hold_result(result); }
+void Dispatcher::on(Time now, const ProbeResult& result) { state_->advance_to(now).on_probe_result(result); }
+void Dispatcher::on(Time now, const PeerMessage& message) {
+  state_->advance_to(now).on_peer_message(message);
 }
-void Dispatcher::on(Time now, const HoldResult& result) { state_->at(now).on_hold_result(result); }
-void Dispatcher::on(Time now, const ProbeResult& result) { state_->at(now).on_probe_result(result); }
-void Dispatcher::on(Time now, const PeerMessage& message) { state_->at(now).on_peer_message(message); }
-void Dispatcher::on(Time now, const TimerFired& timer) { state_->at(now).on_timer(timer.token); }
+void Dispatcher::on(Time now, const TimerFired& timer) { state_->advance_to(now).on_timer(timer.token); }
 bool Dispatcher::may_start_work(Time now, WorkerId worker) const {
-  return state_->at(now).may_start_work(worker);
+  return state_->advance_to(now).may_start_work(worker);
 }
 bool Dispatcher::may_be_sent(Time now, RequestId request, AttemptNumber attempt) const {
-  return state_->at(now).may_be_sent(request, attempt);
+  return state_->advance_to(now).may_be_sent(request, attempt);
 }
 bool Dispatcher::list_is_valid(Time now) const { return state_->leases.list_is_valid(now); }
 const LeaseCounters& Dispatcher::lease_counters() const { return state_->leases.counters(); }
--- a/tests/policy/worker_lease_test.cpp
+++ b/tests/policy/worker_lease_test.cpp
@@ -278,8 +278,7 @@
   EXPECT_TRUE(front_end.actions_of(ActionKind::kProbe).empty());
 }
 
-// ---- Restarts during an outage of discovery
-// -------------------------------------------------------------------------
+// ---- Restarts during an outage of discovery -----------------------------------------------------------
 //
 // Nothing reports them. A cold worker is sent a part of what a warm one is.
 
