--- a/include/laureltide/dispatcher.h
+++ b/include/laureltide/dispatcher.h
@@ -40,7 +40,8 @@
 
 // ---- Settings -------------------------------------------------------------------------------------
 
-// What a repeat does: no harm; no harm where workers drop repeats of its key; a second effect.
+// What a second run of a request does: no harm (kRepeatable), no harm at workers that deduplicate by its key
+// (kKeyed), or a second effect (kOnce).
 enum class Semantics { kRepeatable, kKeyed, kOnce };
 enum class RepeatGroup { kAll, kZone, kCell };  // workers that deduplicate a keyed request
 enum class MissMode { kLoad, kMiss };           // what a worker does with a request without an instance
@@ -246,11 +247,11 @@
   virtual ~ActionSink() = default;
   virtual void send(RequestId request, WorkerId worker, Duration give_up_after) = 0;  // zero: no timeout
   virtual void cancel(RequestId request, AttemptNumber attempt) = 0;
-  // Final answer: the client may safely retry. Zero: without advice when.
+  // Final answer: the client may safely retry, after `retry_after` unless that is zero.
   virtual void refuse(RequestId request, Duration retry_after) = 0;
   // Final answer: the request may have run and must not be repeated.
   virtual void fail(RequestId request) = 0;
-  // Orders that the worker load or keep so many instances; 0 only queries how many it has.
+  // Orders the worker to load, or keep, this many instances; 0 only queries how many it has.
   virtual void hold(WorkerId worker, FunctionId function, int instances) = 0;
   // The function's instances at the worker are no longer wanted.
   virtual void release(WorkerId worker, FunctionId function) = 0;
@@ -292,7 +293,8 @@
   void on(Time now, const PeerMessage& message);
   void on(Time now, const TimerFired& timer);
 
-  // Whether something new may start at the worker, to be checked again when what was decided earlier is sent.
+  // Whether something new may start at the worker. Checked again when work that was decided on earlier is
+  // sent.
   bool may_start_work(Time now, WorkerId worker) const;
   // Whether the bytes of an attempt that was decided earlier may be sent now: not after the deadline or the
   // end of the request, and not after the window in which workers drop repeats of what may have run.
