--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -184,7 +184,7 @@
 std::optional<platform::LoadValue> load_value(wire::ReportColumn column) {
   using platform::LoadValue;
   switch (column) {
-    case wire::ReportColumn::kInHand: return LoadValue::kInHand;
+    case wire::ReportColumn::kInFlight: return LoadValue::kInHand;
     case wire::ReportColumn::kWaiting: return LoadValue::kWaiting;
     case wire::ReportColumn::kBusyCores: return LoadValue::kBusyCores;
     case wire::ReportColumn::kRunMs: return LoadValue::kRunMs;
@@ -242,7 +242,7 @@
   std::string pairs;
   flatten(settings, "", pairs);
   wire::LaunchSettings launch = wire::parse_settings(pairs);
-  c.unread = std::move(launch.unread);
+  c.unread = std::move(launch.unknown_keys);
   c.settings.module = std::move(launch.settings);
   c.settings.class_names = names_in(settings, "classes");
   c.settings.tenant_names = names_in(settings, "tenants");
@@ -250,14 +250,14 @@
   c.settings.gateway.name = c.name;
   // An answer is on its way for less than what the rules themselves allow it.
   c.settings.gateway.answer_reserve = c.settings.module.rules.answer_grace;
-  c.settings.gateway.most_body = platform::kMostBody;
+  c.settings.gateway.most_body = platform::kMaxBodyBytes;
   if (c.settings.module.tick <= Duration(0)) throw Problem("settings.tick_ns: expected a time above 0");
   if (c.settings.module.classes.empty()) throw Problem("settings.classes: expected one class or more");
   const auto stats = settings.find("stats");
   const auto columns = stats == settings.end() ? std::vector<std::string>() : names_in(*stats, "columns");
   for (std::size_t i = 0; i < columns.size() && i < launch.columns.size(); ++i)
     if (const auto value = load_value(launch.columns[i])) c.load.emplace_back(columns[i], *value);
-  c.idle_closes =
+  c.invoker_idle_timeout =
       Duration(static_cast<Duration::rep>(at_path(settings, "bounds.keepalive_ns")->get<double>()));
   c.streams = std::max<std::size_t>(
       1, static_cast<std::size_t>(std::min(1e6, at_path(settings, "bounds.max_streams")->get<double>())));
--- a/tests/gateway_fixture.h
+++ b/tests/gateway_fixture.h
@@ -41,11 +41,11 @@
   std::vector<Call> calls;
   std::vector<std::string> lines;
   std::string kept_list;
-  void on_call(const controller::Ended& e) override {
+  void on_call_finished(const controller::CallSummary& e) override {
     calls.push_back({e.call.name, e.end, e.attempts, e.answer.kind});
   }
-  void on_line(controller::LogLevel, const std::string& line) override { lines.push_back(line); }
-  void keep_list(const std::string& json) override { kept_list = json; }
+  void on_log_line(controller::LogLevel, const std::string& line) override { lines.push_back(line); }
+  void store_worker_list(const std::string& json) override { kept_list = json; }
   bool contains(const std::string& text) const {
     return std::any_of(lines.begin(), lines.end(),
                        [&](auto& l) { return l.find(text) != std::string::npos; });
@@ -136,13 +136,13 @@
   std::unique_ptr<controller::Gateway> gateway;
   std::unique_ptr<standin::Caller> caller;
   io::Address broker_at{"127.0.0.1", 5672}, list_at{"127.0.0.1", 7000};
-  std::uint32_t first_request = 1;
+  std::uint32_t first_request_id = 1;
   int calls_named = 0;
 
   explicit GatewayFixture(int count = 2, std::uint64_t seed = 1,
                           std::shared_ptr<const config::Settings> with = settings(),
-                          std::size_t most_piece = 0)
-      : net({seed, 50us, 400us, most_piece}),
+                          std::size_t max_segment_bytes = 0)
+      : net({seed, 50us, 400us, max_segment_bytes}),
         broker(net, {}, tape),
         list(net, tape),
         config(std::move(with)) {
@@ -191,7 +191,7 @@
         if (on_step) on_step(step);
       };
     }
-    gateway = std::make_unique<controller::Gateway>(net, config, log, seed, first_request, book.get());
+    gateway = std::make_unique<controller::Gateway>(net, config, log, seed, first_request_id, book.get());
     gateway->start();
   }
   // As by kill -9: unsent bytes are lost, and so is what was not on disk.
