--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -536,9 +536,10 @@
   return s;
 }
 
-long count_actions(const ScriptedFrontEnd& front_end, ActionKind did, WorkerId worker, std::size_t from = 0) {
+long count_actions(const ScriptedFrontEnd& front_end, ActionKind kind, WorkerId worker,
+                   std::size_t from = 0) {
   return std::count_if(front_end.actions.begin() + static_cast<long>(from), front_end.actions.end(),
-                       [&](auto& a) { return a.kind == did && a.worker == worker; });
+                       [&](auto& a) { return a.kind == kind && a.worker == worker; });
 }
 
 // Many front ends with the same plan must not each order the same instance.
