--- a/fuzz/http.cpp
+++ b/fuzz/http.cpp
@@ -9,13 +9,13 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
   http::Limits limits;
-  limits.body = 4096;
+  limits.max_body_bytes = 4096;
   for (const auto side : {http::Parser::Side::kRequest, http::Parser::Side::kResponse}) {
     http::Parser whole(side, limits), pieces(side, limits);
     std::size_t used = 0, at = 0;
     const auto a = whole.feed(bytes, used);
-    auto b = http::Parser::State::kMore;
-    while (at < bytes.size() && b == http::Parser::State::kMore) {
+    auto b = http::Parser::State::kNeedMore;
+    while (at < bytes.size() && b == http::Parser::State::kNeedMore) {
       std::size_t n = 0;
       b = pieces.feed(bytes.substr(at, 3), n);
       at += n;
@@ -36,8 +36,8 @@
       answer.body = r.body;
       server->respond(t, std::move(answer));
     }
-    void on_gone(http::Server::Ticket) override {}
-    std::string on_bad(int, const std::string& reason) override { return reason; }
+    void on_client_disconnected(http::Server::Ticket) override {}
+    std::string on_invalid_request(int, const std::string& reason) override { return reason; }
   } echo;
   http::Server server(net, {}, echo);
   echo.server = &server;
--- a/src/amqp/codec.cpp
+++ b/src/amqp/codec.cpp
@@ -97,17 +97,18 @@
   const auto type = static_cast<FrameType>(bytes[0]);
   if (type != FrameType::kMethod && type != FrameType::kHeader && type != FrameType::kBody &&
       type != FrameType::kHeartbeat)
-    return {Kind::kBad, {}, 0, "unknown frame type"};
+    return {Kind::kInvalid, {}, 0, "unknown frame type"};
   if (bytes.size() < kHeaderSize) return {};
   Reader in(bytes.substr(1, 6));
   const std::uint16_t channel = in.u16();
   const std::size_t size = in.u32();
-  if (frame_max > 0 && size + kFrameOverhead > frame_max) return {Kind::kBad, {}, 0, "frame over frame-max"};
+  if (frame_max > 0 && size + kFrameOverhead > frame_max)
+    return {Kind::kInvalid, {}, 0, "frame over frame-max"};
   if (type == FrameType::kHeartbeat && (size > 0 || channel != 0))
-    return {Kind::kBad, {}, 0, "heartbeat with a payload or a channel"};
+    return {Kind::kInvalid, {}, 0, "heartbeat with a payload or a channel"};
   if (bytes.size() < size + kFrameOverhead) return {};
   if (bytes[kHeaderSize + size] != kFrameEnd)
-    return {Kind::kBad, {}, 0, "no frame end where the length says"};
+    return {Kind::kInvalid, {}, 0, "no frame end where the length says"};
   return {Kind::kFrame, {type, channel, bytes.substr(kHeaderSize, size)}, size + kFrameOverhead, {}};
 }
 
--- a/src/amqp/codec.h
+++ b/src/amqp/codec.h
@@ -10,8 +10,8 @@
 namespace laureltide::amqp {
 
 inline constexpr std::string_view kProtocolHeader{"AMQP\x00\x00\x09\x01", 8};
-inline constexpr std::uint32_t kLeastFrameMax = 4096;  // 4.2.3: every peer takes frames of this size
-inline constexpr std::size_t kFrameOverhead = 8;       // header of 7 and the end octet
+inline constexpr std::uint32_t kMinFrameMax = 4096;  // 4.2.3: every peer takes frames of this size
+inline constexpr std::size_t kFrameOverhead = 8;     // header of 7 and the end octet
 
 enum class FrameType : std::uint8_t { kMethod = 1, kHeader = 2, kBody = 3, kHeartbeat = 8 };
 
@@ -45,7 +45,7 @@
 };
 
 struct FrameResult {
-  enum class Kind { kFrame, kNeedMore, kBad } kind = Kind::kNeedMore;
+  enum class Kind { kFrame, kNeedMore, kInvalid } kind = Kind::kNeedMore;
   Frame frame;
   std::size_t size = 0;  // bytes of the frame, when there is one
   std::string_view why;  // when bad: always reply code 501
--- a/src/amqp/endpoint.cpp
+++ b/src/amqp/endpoint.cpp
@@ -23,7 +23,7 @@
 
 Endpoint::Endpoint(io::Host& host, Role role, EndpointOptions options, EndpointEvents& events)
     : host_(host), role_(role), options_(std::move(options)), events_(events) {
-  options_.frame_max = std::max(options_.frame_max, kLeastFrameMax);
+  options_.frame_max = std::max(options_.frame_max, kMinFrameMax);
   patience_ = host.timer(
       [this] { ended(state_ == State::kClosing ? close_reason_ : "no handshake within its time"); });
   heartbeat_ = host.timer([this] { beat(); });
@@ -32,7 +32,7 @@
 
 void Endpoint::on_open() {
   heard_ = sent_ = host_.now();
-  patience_->start(options_.handshake_within);
+  patience_->start(options_.handshake_timeout);
   state_ = role_ == Role::kClient ? State::kStart : State::kProtocol;
   if (role_ == Role::kClient) connection_->write(kProtocolHeader);
 }
@@ -56,7 +56,7 @@
   while (state_ != State::kEnded) {
     const FrameResult r = parse_frame(bytes.substr(used), frame_max_);
     if (r.kind == FrameResult::Kind::kNeedMore) break;
-    if (r.kind == FrameResult::Kind::kBad) {
+    if (r.kind == FrameResult::Kind::kInvalid) {
       if (role_ == Role::kClient && state_ == State::kStart && bytes.starts_with("AMQP"))
         ended("the broker speaks another version of AMQP");
       else
@@ -143,7 +143,7 @@
     }
     if (const auto* m = std::get_if<ConnectionTune>(&method); m && state_ == State::kTune) {
       channel_max_ = lesser(m->channel_max, options_.channel_max);
-      frame_max_ = std::max(lesser(m->frame_max, options_.frame_max), kLeastFrameMax);
+      frame_max_ = std::max(lesser(m->frame_max, options_.frame_max), kMinFrameMax);
       heartbeat_s_ = lesser(m->heartbeat, options_.heartbeat_s);
       state_ = State::kOpening;
       send(0, ConnectionTuneOk{channel_max_, frame_max_, heartbeat_s_});
@@ -170,7 +170,7 @@
     }
     if (const auto* m = std::get_if<ConnectionTuneOk>(&method); m && state_ == State::kTune) {
       const bool over =
-          m->frame_max == 0 || m->frame_max > options_.frame_max || m->frame_max < kLeastFrameMax ||
+          m->frame_max == 0 || m->frame_max > options_.frame_max || m->frame_max < kMinFrameMax ||
           (options_.channel_max > 0 && (m->channel_max == 0 || m->channel_max > options_.channel_max));
       if (over) return connection_error(ReplyCode::kNotAllowed, "tune-ok over what was offered", 10, 31);
       channel_max_ = m->channel_max;
@@ -234,7 +234,7 @@
     if (channel.received > channel.header->body_size)
       return connection_error(ReplyCode::kFrameError, "more body than its header says");
     const std::uint64_t room =
-        options_.most_body - std::min<std::uint64_t>(options_.most_body, channel.body.size());
+        options_.max_body_bytes - std::min<std::uint64_t>(options_.max_body_bytes, channel.body.size());
     channel.body.append(frame.payload.substr(0, room));
   }
   if (channel.received == channel.header->body_size) finish_content(number, channel);
@@ -305,7 +305,7 @@
   state_ = State::kClosing;
   channels_.clear();
   heartbeat_->stop();
-  patience_->start(options_.close_within);
+  patience_->start(options_.close_timeout);
 }
 
 void Endpoint::on_closed(io::Closed why) {
--- a/src/amqp/endpoint.h
+++ b/src/amqp/endpoint.h
@@ -4,8 +4,8 @@
 // An Endpoint knows nothing of queues or calls. Methods and whole contents go to its EndpointEvents, which
 // may destroy the endpoint only outside of the endpoint's own calls (io::Graveyard).
 //
-// Bounds: a frame is at most the negotiated frame-max; a content keeps at most `most_body` bytes (the rest is
-// counted and dropped); open channels at most channel-max; a table nests at most kMostNesting deep.
+// Bounds: a frame is at most the negotiated frame-max; a content keeps at most `max_body_bytes` bytes (the
+// rest is counted and dropped); open channels at most channel-max; a table nests at most kMaxNesting deep.
 #pragma once
 
 #include <map>
@@ -21,9 +21,9 @@
   std::uint16_t channel_max = 64;
   std::uint32_t frame_max = 128U << 10;
   std::uint16_t heartbeat_s = 30;  // 0: none
-  std::uint64_t most_body = 8U << 20;
-  Duration handshake_within = std::chrono::seconds(10);  // for a half-open peer
-  Duration close_within = std::chrono::seconds(2);       // for the close-ok
+  std::uint64_t max_body_bytes = 8U << 20;
+  Duration handshake_timeout = std::chrono::seconds(10);  // for a half-open peer
+  Duration close_timeout = std::chrono::seconds(2);       // for the close-ok
   Table properties;
   // Client only.
   std::string user = "guest", password = "guest", vhost = "/";
@@ -108,7 +108,7 @@
   State state_ = State::kIdle;
   std::map<std::uint16_t, Channel> channels_;
   std::uint16_t channel_max_ = 0;
-  std::uint32_t frame_max_ = kLeastFrameMax;
+  std::uint32_t frame_max_ = kMinFrameMax;
   std::uint16_t heartbeat_s_ = 0;
   bool blocked_ = false;
   bool parsing_ = false;  // writes are gathered and leave once per input
--- a/src/amqp/types.cpp
+++ b/src/amqp/types.cpp
@@ -36,7 +36,7 @@
     case 'F': return read_table(in, depth + 1);
     case 'V': return {};
     case 'A': {
-      if (depth >= kMostNesting) return in.fail(), Value{};
+      if (depth >= kMaxNesting) return in.fail(), Value{};
       Reader items(in.take(in.u32()));
       Array array;
       while (items.ok() && items.left() > 0) array.push_back(read_value(items, depth + 1));
@@ -113,7 +113,7 @@
 
 Table read_table(Reader& in, int depth) {
   Table table;
-  if (depth >= kMostNesting) return in.fail(), table;
+  if (depth >= kMaxNesting) return in.fail(), table;
   Reader fields(in.take(in.u32()));
   while (fields.ok() && fields.left() > 0) {
     std::string name(read_short(fields));
--- a/src/amqp/types.h
+++ b/src/amqp/types.h
@@ -63,7 +63,7 @@
   bool operator==(const Field& other) const = default;
 };
 
-constexpr int kMostNesting = 16;  // of tables and arrays: bounds the stack that a peer can make us use
+constexpr int kMaxNesting = 16;  // of tables and arrays: bounds the stack that a peer can make us use
 
 // Fails the reader on unknown types, lying lengths and deeper nesting.
 Table read_table(Reader& in, int depth = 0);
--- a/src/apps/layers.cpp
+++ b/src/apps/layers.cpp
@@ -61,8 +61,8 @@
     spdlog::log(warn ? spdlog::level::warn : spdlog::level::info, "{}", line);
   });
   lt::http::ServerOptions http;
-  http.limits.body = 64U << 10;
-  http.body_within = 5s, http.idle = 60s;
+  http.limits.max_body_bytes = 64U << 10;
+  http.body_timeout = 5s, http.idle_timeout = 60s;
   lt::layers::AgentServer server(loop, agent, http);
   if (!server.listen({"127.0.0.1", o.port}))
     return std::cerr << "cannot listen on 127.0.0.1:" << o.port << '\n', 1;
--- a/src/controller/invoke.cpp
+++ b/src/controller/invoke.cpp
@@ -23,9 +23,9 @@
 
 http::ServerOptions server_options(const config::Settings& settings) {
   http::ServerOptions o;
-  o.limits.body = settings.gateway.most_body;
-  o.head_within = settings.invoke.head_within, o.body_within = settings.invoke.body_within;
-  o.most_connections = settings.invoke.most_connections;
+  o.limits.max_body_bytes = settings.gateway.most_body;
+  o.header_timeout = settings.invoke.head_within, o.body_timeout = settings.invoke.body_within;
+  o.max_connections = settings.invoke.most_connections;
   return o;
 }
 
@@ -64,9 +64,9 @@
 
 // ---- Words on the wire ------------------------------------------------------------------------------------
 
-std::string InvokeFront::on_bad(int status, const std::string& why) {
+std::string InvokeFront::on_invalid_request(int status, const std::string& why) {
   return dump(
-      {{"type", "about:blank"}, {"title", http::reason_of(status)}, {"status", status}, {"detail", why}});
+      {{"type", "about:blank"}, {"title", http::reason_phrase(status)}, {"status", status}, {"detail", why}});
 }
 
 void InvokeFront::problem(Ticket ticket, int status, const std::string& detail, http::Headers headers) {
@@ -74,7 +74,7 @@
   response.status = status;
   response.headers = std::move(headers);
   response.headers.add("Content-Type", "application/problem+json");
-  response.body = on_bad(status, detail);
+  response.body = on_invalid_request(status, detail);
   server_.respond(ticket, std::move(response));
 }
 
@@ -217,7 +217,7 @@
   if (request_class.semantics == Semantics::kKeyed && w.call.key.empty())
     return refuse(400, "a call of this class needs header Call-Key or Idempotency-Key");
   for (const auto& [header, value] : h.all())
-    if (http::same_name(header, "Prefer")) {
+    if (http::equal_ignoring_case(header, "Prefer")) {
       const Preferences p = parse_prefer(value);
       w.deferred |= p.respond_async;
       if (p.wait_s) w.wait_s = p.wait_s;
@@ -396,7 +396,7 @@
   });
 }
 
-void InvokeFront::on_gone(Ticket ticket) {
+void InvokeFront::on_client_disconnected(Ticket ticket) {
   const auto it = waiting_.find(ticket);
   if (it == waiting_.end()) return;
   const std::string id = it->second;
@@ -561,7 +561,7 @@
 }
 
 bool InvokeFront::drained() const {
-  return open_.empty() && backlog_.empty() && callbacks_.empty() && server_.owed() == 0;
+  return open_.empty() && backlog_.empty() && callbacks_.empty() && server_.unanswered() == 0;
 }
 
 }  // namespace laureltide::controller
--- a/src/controller/invoke.h
+++ b/src/controller/invoke.h
@@ -38,8 +38,8 @@
 
   // ---- http::Server::Events ----
   void on_request(Ticket ticket, http::Request request) override;
-  void on_gone(Ticket ticket) override;
-  std::string on_bad(int status, const std::string& why) override;
+  void on_client_disconnected(Ticket ticket) override;
+  std::string on_invalid_request(int status, const std::string& why) override;
 
  private:
   struct Open {  // a call without an answer
--- a/src/controller/trigger.cpp
+++ b/src/controller/trigger.cpp
@@ -88,7 +88,7 @@
   options.channel_max = static_cast<std::uint16_t>(std::max<std::size_t>(queues_.size(), 8));
   options.frame_max = broker_.frame_max;
   options.heartbeat_s = broker_.heartbeat_s;
-  options.most_body = core_.settings().gateway.most_body;
+  options.max_body_bytes = core_.settings().gateway.most_body;
   options.user = broker_.user, options.password = broker_.password, options.vhost = broker_.vhost;
   amqp::Table can;
   can.set("consumer_cancel_notify", true).set("publisher_confirms", true).set("basic.nack", true);
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -42,8 +42,8 @@
     std::size_t n = 0;
     const Parser::State state = parser_.feed(bytes.substr(used), n);
     used += n;
-    if (state == Parser::State::kMore) return bytes.size();
-    if (state == Parser::State::kBad) {
+    if (state == Parser::State::kNeedMore) return bytes.size();
+    if (state == Parser::State::kInvalid) {
       finish("no HTTP answer: " + parser_.why());
     } else if (parser_.status() < 200) {
       parser_.reset();  // an interim answer
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -38,26 +38,27 @@
 
 }  // namespace
 
-bool same_name(std::string_view a, std::string_view b) {
+bool equal_ignoring_case(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
 }
 
 const std::string* Headers::find(std::string_view name) const {
-  const auto it = std::find_if(all_.begin(), all_.end(), [&](auto& h) { return same_name(h.first, name); });
+  const auto it =
+      std::find_if(all_.begin(), all_.end(), [&](auto& h) { return equal_ignoring_case(h.first, name); });
   return it == all_.end() ? nullptr : &it->second;
 }
 std::size_t Headers::count(std::string_view name) const {
   return static_cast<std::size_t>(
-      std::count_if(all_.begin(), all_.end(), [&](auto& h) { return same_name(h.first, name); }));
+      std::count_if(all_.begin(), all_.end(), [&](auto& h) { return equal_ignoring_case(h.first, name); }));
 }
 bool Headers::has_token(std::string_view name, std::string_view token) const {
   for (const auto& [n, value] : all_) {
-    if (!same_name(n, name)) continue;
+    if (!equal_ignoring_case(n, name)) continue;
     std::string_view rest = value;
     while (!rest.empty()) {
       const std::size_t comma = std::min(rest.find(','), rest.size());
-      if (same_name(trimmed(rest.substr(0, comma)), token)) return true;
+      if (equal_ignoring_case(trimmed(rest.substr(0, comma)), token)) return true;
       rest.remove_prefix(std::min(comma + 1, rest.size()));
     }
   }
@@ -69,7 +70,7 @@
   return minor >= 1 || headers.has_token("Connection", "keep-alive");
 }
 
-const char* reason_of(int status) {
+const char* reason_phrase(int status) {
   switch (status) {
     case 100: return "Continue";
     case 200: return "OK";
@@ -108,7 +109,7 @@
   failed_ = true;
   error_ = status;
   why_ = std::move(why);
-  return State::kBad;
+  return State::kInvalid;
 }
 
 // One whole line, without its CRLF; false if it is not here yet. A line is refused as soon as it cannot
@@ -120,8 +121,9 @@
   used += piece.size();
   head_bytes_ += piece.size();
   line_ += piece;
-  if (head_bytes_ > limits_.head + (part_ == Part::kStart ? limits_.line : 0)) {
-    bad(part_ == Part::kStart ? 414 : 431, "the head is over " + std::to_string(limits_.head) + " bytes");
+  if (head_bytes_ > limits_.max_head_bytes + (part_ == Part::kStart ? limits_.max_target_bytes : 0)) {
+    bad(part_ == Part::kStart ? 414 : 431,
+        "the head is over " + std::to_string(limits_.max_head_bytes) + " bytes");
     return false;
   }
   if (const std::size_t cr = line_.find('\r');
@@ -141,7 +143,7 @@
 
 Parser::State Parser::feed(std::string_view bytes, std::size_t& used) {
   used = 0;
-  if (failed_) return State::kBad;
+  if (failed_) return State::kInvalid;
   std::string line;
   while (part_ != Part::kDone) {
     switch (part_) {
@@ -150,17 +152,17 @@
       case Part::kUntilClose: {
         std::size_t n = bytes.size() - used;
         if (part_ != Part::kUntilClose) n = static_cast<std::size_t>(std::min<std::uint64_t>(left_, n));
-        if (request_.body.size() + n > limits_.body)
-          return bad(413, "the body is over " + std::to_string(limits_.body) + " bytes");
+        if (request_.body.size() + n > limits_.max_body_bytes)
+          return bad(413, "the body is over " + std::to_string(limits_.max_body_bytes) + " bytes");
         request_.body.append(bytes.substr(used, n));
         used += n, left_ -= n;
-        if (part_ == Part::kUntilClose || left_ > 0) return State::kMore;
+        if (part_ == Part::kUntilClose || left_ > 0) return State::kNeedMore;
         part_ = part_ == Part::kLength ? Part::kDone : Part::kChunkEnd;
         break;
       }
       default:
-        if (!take_line(bytes, used, line)) return failed_ ? State::kBad : State::kMore;
-        if (on_line(line) == State::kBad) return State::kBad;
+        if (!take_line(bytes, used, line)) return failed_ ? State::kInvalid : State::kNeedMore;
+        if (on_line(line) == State::kInvalid) return State::kInvalid;
     }
   }
   return State::kDone;
@@ -168,7 +170,7 @@
 
 Parser::State Parser::end() {
   if (part_ == Part::kUntilClose) return part_ = Part::kDone, State::kDone;
-  return part_ == Part::kDone ? State::kDone : State::kMore;
+  return part_ == Part::kDone ? State::kDone : State::kNeedMore;
 }
 
 Parser::State Parser::on_line(const std::string& line) {
@@ -177,7 +179,7 @@
       if (line.empty()) {  // RFC 9112, 2.2: an empty line before a request is passed over; a flood of them is
                            // not
         if (++header_lines_ > 2) return bad(400, "empty lines in place of a request");
-        return State::kMore;
+        return State::kNeedMore;
       }
       header_lines_ = 0;
       return side_ == Side::kRequest ? on_request_line(line) : on_status_line(line);
@@ -185,13 +187,13 @@
     case Part::kTrailers:
       if (!line.empty()) return on_header(line, true);
       part_ = Part::kDone;
-      return State::kMore;
+      return State::kNeedMore;
     case Part::kChunkSize: return on_chunk_size(line);
     case Part::kChunkEnd:
       if (!line.empty()) return bad(400, "a chunk is longer than it said");
       part_ = Part::kChunkSize;
-      return State::kMore;
-    default: return State::kMore;
+      return State::kNeedMore;
+    default: return State::kNeedMore;
   }
 }
 
@@ -203,8 +205,8 @@
   request_.target = line.substr(first + 1, last - first - 1);
   const std::string version = line.substr(last + 1);
   if (!is_token(request_.method)) return bad(400, "the method is no token");
-  if (request_.target.size() > limits_.line)
-    return bad(414, "the target is over " + std::to_string(limits_.line) + " bytes");
+  if (request_.target.size() > limits_.max_target_bytes)
+    return bad(414, "the target is over " + std::to_string(limits_.max_target_bytes) + " bytes");
   if (request_.target.empty() || std::any_of(request_.target.begin(), request_.target.end(),
                                              [](char c) { return c <= 0x20 || c == 0x7f; }))
     return bad(400, "the target holds a space, control or non-ASCII character");
@@ -214,7 +216,7 @@
   if (version[5] != '1') return bad(505, "versions other than 1.0 and 1.1 are not spoken");
   request_.minor = version[7] == '0' ? 0 : 1;
   part_ = Part::kHeaders;
-  return State::kMore;
+  return State::kNeedMore;
 }
 
 Parser::State Parser::on_status_line(const std::string& line) {
@@ -226,12 +228,12 @@
     return bad(502, "the status is no number of three digits");
   request_.minor = line[7] == '0' ? 0 : 1;
   part_ = Part::kHeaders;
-  return State::kMore;
+  return State::kNeedMore;
 }
 
 Parser::State Parser::on_header(const std::string& line, bool trailer) {
-  if (++header_lines_ > limits_.headers)
-    return bad(431, "more than " + std::to_string(limits_.headers) + " header lines");
+  if (++header_lines_ > limits_.max_header_lines)
+    return bad(431, "more than " + std::to_string(limits_.max_header_lines) + " header lines");
   if (line[0] == ' ' || line[0] == '\t') return bad(400, "a folded header line");  // RFC 9112, 5.2
   const std::size_t colon = line.find(':');
   if (colon == std::string::npos) return bad(400, "a header line without a colon");
@@ -241,7 +243,7 @@
   if (!is_field_value(value)) return bad(400, "a control character in a header's value");
   // What a trailer says comes too late to matter here (RFC 9110, 6.5.1).
   if (!trailer) request_.headers.add(line.substr(0, colon), std::string(value));
-  return State::kMore;
+  return State::kNeedMore;
 }
 
 Parser::State Parser::on_head() {
@@ -258,10 +260,10 @@
   if (h.count("Content-Length") > 1) return bad(400, "Content-Length is given twice");
   if (h.count("Transfer-Encoding") > 1) return bad(400, "Transfer-Encoding is given twice");
   if (side_ == Side::kResponse && (no_body_ || status_ < 200 || status_ == 204 || status_ == 304))
-    return part_ = Part::kDone, State::kMore;
+    return part_ = Part::kDone, State::kNeedMore;
   if (coding) {
     if (request_.minor == 0) return bad(400, "Transfer-Encoding in HTTP/1.0");
-    if (!same_name(*coding, "chunked")) return bad(501, "a transfer coding other than chunked");
+    if (!equal_ignoring_case(*coding, "chunked")) return bad(501, "a transfer coding other than chunked");
     part_ = Part::kChunkSize;
   } else if (length) {
     std::uint64_t n = 0;
@@ -269,18 +271,19 @@
     if (length->empty() || end != length->data() + length->size() || (*length)[0] == '-' ||
         (*length)[0] == '+')
       return bad(400, "Content-Length is no number");
-    if (error != std::errc() || n > limits_.body)
-      return bad(413, "the body is over " + std::to_string(limits_.body) + " bytes");
+    if (error != std::errc() || n > limits_.max_body_bytes)
+      return bad(413, "the body is over " + std::to_string(limits_.max_body_bytes) + " bytes");
     left_ = n;
     part_ = n > 0 ? Part::kLength : Part::kDone;
   } else {
     part_ = side_ == Side::kRequest ? Part::kDone : Part::kUntilClose;
   }
   if (const std::string* expect = h.find("Expect"); expect && side_ == Side::kRequest) {
-    if (!same_name(*expect, "100-continue")) return bad(417, "an expectation other than 100-continue");
+    if (!equal_ignoring_case(*expect, "100-continue"))
+      return bad(417, "an expectation other than 100-continue");
     expects_continue_ = part_ != Part::kDone && request_.minor >= 1;
   }
-  return State::kMore;
+  return State::kNeedMore;
 }
 
 Parser::State Parser::on_chunk_size(const std::string& line) {
@@ -295,15 +298,15 @@
   if (!rest.empty() && rest[0] != ';') return bad(400, "a chunk's size is no number");
   if (rest.size() > kMostExtension || !is_field_value(rest))
     return bad(400, "a chunk extension that cannot be");
-  if (request_.body.size() + left_ > limits_.body)
-    return bad(413, "the body is over " + std::to_string(limits_.body) + " bytes");
+  if (request_.body.size() + left_ > limits_.max_body_bytes)
+    return bad(413, "the body is over " + std::to_string(limits_.max_body_bytes) + " bytes");
   head_bytes_ = 0;
   part_ = left_ > 0 ? Part::kChunk : Part::kTrailers;
-  return State::kMore;
+  return State::kNeedMore;
 }
 
 void write(std::string& out, const Response& response, bool head_only) {
-  out += "HTTP/1.1 " + std::to_string(response.status) + " " + reason_of(response.status) + "\r\n";
+  out += "HTTP/1.1 " + std::to_string(response.status) + " " + reason_phrase(response.status) + "\r\n";
   for (const auto& [name, value] : response.headers.all()) out += name + ": " + value + "\r\n";
   const bool bodiless = response.status < 200 || response.status == 204;
   if (!bodiless) out += "Content-Length: " + std::to_string(response.body.size()) + "\r\n";
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -28,7 +28,7 @@
  private:
   std::vector<std::pair<std::string, std::string>> all_;
 };
-bool same_name(std::string_view a, std::string_view b);  // without case
+bool equal_ignoring_case(std::string_view a, std::string_view b);  // without case
 
 struct Request {
   std::string method, target;  // the target as sent; see split_target
@@ -44,19 +44,19 @@
   std::string body;
   bool close = false;
 };
-const char* reason_of(int status);
+const char* reason_phrase(int status);
 
 struct Limits {
-  std::size_t line = 8U << 10;   // of the request target: 414
-  std::size_t head = 16U << 10;  // of all lines before the body, and of trailers: 431
-  std::size_t headers = 100;     // 431
-  std::size_t body = 8U << 20;   // 413
+  std::size_t max_target_bytes = 8U << 10;  // of the request target: 414
+  std::size_t max_head_bytes = 16U << 10;   // of all lines before the body, and of trailers: 431
+  std::size_t max_header_lines = 100;       // 431
+  std::size_t max_body_bytes = 8U << 20;    // 413
 };
 
 class Parser {
  public:
   enum class Side { kRequest, kResponse };
-  enum class State { kMore, kDone, kBad };
+  enum class State { kNeedMore, kDone, kInvalid };
   Parser(Side side, Limits limits) : side_(side), limits_(limits) {}
 
   // Consumes what belongs to this message; says in `used` how much that was.
@@ -66,13 +66,13 @@
 
   // Of a request, once its head is read and before its body: the peer waits for a word (RFC 9110, 10.1.1).
   bool expects_continue() const { return expects_continue_; }
-  bool head_read() const { return part_ >= Part::kLength; }
-  bool begun() const { return part_ != Part::kStart || !line_.empty(); }
+  bool head_complete() const { return part_ >= Part::kLength; }
+  bool started() const { return part_ != Part::kStart || !line_.empty(); }
   Request& request() { return request_; }
   int status() const { return status_; }  // of a response
   const Headers& headers() const { return request_.headers; }
   std::string& body() { return request_.body; }
-  // Of kBad: what a server answers, and why.
+  // Of kInvalid: what a server answers, and why.
   int error() const { return error_; }
   const std::string& why() const { return why_; }
   void reset() { *this = Parser(side_, limits_); }
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -14,7 +14,7 @@
         stream_(std::move(stream)),
         parser_(Parser::Side::kRequest, server.options_.limits),
         timer_(server.host_.timer([this] { late(); })) {
-    timer_->start(server.options_.idle);
+    timer_->start(server.options_.idle_timeout);
   }
 
   std::size_t on_bytes(std::string_view bytes) override {
@@ -35,12 +35,12 @@
     if (response.close) return finish();
     parser_.reset();
     writing_ = true;
-    timer_->start(std::min(server_.options_.write_within, server_.options_.idle));
+    timer_->start(std::min(server_.options_.write_timeout, server_.options_.idle_timeout));
     if (!reading_) stream_->read(reading_ = true);
     read();
   }
   void drain() {
-    if (ticket_ == 0 && !parser_.begun()) finish();
+    if (ticket_ == 0 && !parser_.started()) finish();
   }
   Ticket ticket() const { return ticket_; }
 
@@ -48,22 +48,22 @@
   void read() {
     if (std::exchange(busy_, true)) return;  // an answer given at once: the loop below goes on
     while (!ended_ && ticket_ == 0 && !waiting_.empty()) {
-      const bool fresh = !parser_.begun();
-      const bool head = parser_.head_read();
+      const bool fresh = !parser_.started();
+      const bool head = parser_.head_complete();
       std::size_t used = 0;
       const Parser::State state = parser_.feed(waiting_, used);
       waiting_.erase(0, used);
-      if (state == Parser::State::kBad) {
+      if (state == Parser::State::kInvalid) {
         refuse(parser_.error(), parser_.why());
         break;
       }
-      if (state == Parser::State::kMore) {
-        if (parser_.begun()) writing_ = false;
-        if (!head && parser_.head_read()) {
+      if (state == Parser::State::kNeedMore) {
+        if (parser_.started()) writing_ = false;
+        if (!head && parser_.head_complete()) {
           if (parser_.expects_continue()) stream_->write("HTTP/1.1 100 Continue\r\n\r\n");
-          timer_->start(server_.options_.body_within);
-        } else if (fresh && parser_.begun()) {
-          timer_->start(server_.options_.head_within);
+          timer_->start(server_.options_.body_timeout);
+        } else if (fresh && parser_.started()) {
+          timer_->start(server_.options_.header_timeout);
         }
         if (used == 0) break;
         continue;
@@ -83,7 +83,7 @@
     response.status = status;
     response.close = true;
     response.headers.add("Content-Type", "application/problem+json");
-    response.body = server_.events_.on_bad(status, why);
+    response.body = server_.events_.on_invalid_request(status, why);
     std::string out;
     write(out, response);
     stream_->write(out);
@@ -91,12 +91,13 @@
   }
   void late() {
     if (ended_) return;
-    if (parser_.begun() && ticket_ == 0)
-      return refuse(408,
-                    parser_.head_read() ? "the body did not come in time" : "the head did not come in time");
+    if (parser_.started() && ticket_ == 0)
+      return refuse(
+          408, parser_.head_complete() ? "the body did not come in time" : "the head did not come in time");
     if (std::exchange(writing_, false) &&
         stream_->unsent() == 0)  // it has read its answer, and is idle since
-      return timer_->start(std::max(Duration(0), server_.options_.idle - server_.options_.write_within));
+      return timer_->start(
+          std::max(Duration(0), server_.options_.idle_timeout - server_.options_.write_timeout));
     gone();  // idle, or it does not read
   }
   void finish() {
@@ -110,7 +111,7 @@
     timer_->stop();
     if (const Ticket ticket = std::exchange(ticket_, 0)) {
       server_.tickets_.erase(ticket);
-      server_.events_.on_gone(ticket);
+      server_.events_.on_client_disconnected(ticket);
     }
     server_.drop(*this);
   }
@@ -134,7 +135,7 @@
 bool Server::listen(const io::Address& at) {
   io::StreamOptions stream;
   listener_ = host_.listen(at, stream, [this](std::unique_ptr<io::Connection> c) -> io::ConnectionEvents* {
-    if (draining_ || connections_.size() >= options_.most_connections) return nullptr;
+    if (draining_ || connections_.size() >= options_.max_connections) return nullptr;
     auto fresh = std::make_unique<Connection>(*this, std::move(c));
     Connection* raw = fresh.get();
     connections_[raw] = std::move(fresh);
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,9 +1,9 @@
 // The server's end of an HTTP/1.1 connection (RFC 9112, 9). Sans-I/O.
 //
 // One request is handled at a time; what a client sends behind it waits unread (pipelining is right, not
-// fast). Bounds: those of http::Limits; a head must be whole within `head_within` of its first byte and a
-// body within `body_within` of its head (408, slow clients); an idle connection is closed after `idle`; a
-// client that does not read its answer within `write_within` is hung up on.
+// fast). Bounds: those of http::Limits; a head must be whole within `header_timeout` of its first byte and a
+// body within `body_timeout` of its head (408, slow clients); an idle connection is closed after
+// `idle_timeout`; a client that does not read its answer within `write_timeout` is hung up on.
 #pragma once
 
 #include <functional>
@@ -17,11 +17,11 @@
 
 struct ServerOptions {
   Limits limits;
-  Duration head_within = std::chrono::seconds(10);
-  Duration body_within = std::chrono::seconds(30);
-  Duration idle = std::chrono::seconds(60);
-  Duration write_within = std::chrono::seconds(30);
-  std::size_t most_connections = 1024;  // over it: the connection is closed at once
+  Duration header_timeout = std::chrono::seconds(10);
+  Duration body_timeout = std::chrono::seconds(30);
+  Duration idle_timeout = std::chrono::seconds(60);
+  Duration write_timeout = std::chrono::seconds(30);
+  std::size_t max_connections = 1024;  // over it: the connection is closed at once
 };
 
 class Server {
@@ -34,9 +34,9 @@
     // Answer it by respond(), now or later.
     virtual void on_request(Ticket ticket, Request request) = 0;
     // The client hung up before its answer: respond() would do nothing.
-    virtual void on_gone(Ticket ticket) = 0;
+    virtual void on_client_disconnected(Ticket ticket) = 0;
     // What could not be read as a request: it is answered with `error` and makes the body of that answer.
-    virtual std::string on_bad(int status, const std::string& why) = 0;
+    virtual std::string on_invalid_request(int status, const std::string& why) = 0;
   };
   Server(io::Host& host, ServerOptions options, Events& events);
   ~Server();
@@ -47,7 +47,7 @@
   // Listens no more; connections close behind the answers that are owed.
   void drain();
   std::size_t connections() const { return connections_.size(); }
-  std::size_t owed() const { return tickets_.size(); }
+  std::size_t unanswered() const { return tickets_.size(); }
 
  private:
   class Connection;
--- a/src/layers/agent_server.cpp
+++ b/src/layers/agent_server.cpp
@@ -89,12 +89,12 @@
 }
 
 void AgentServer::problem(http::Server::Ticket ticket, int status, const std::string& detail) {
-  say(ticket, status, on_bad(status, detail), "application/problem+json");
+  say(ticket, status, on_invalid_request(status, detail), "application/problem+json");
 }
 
-std::string AgentServer::on_bad(int status, const std::string& why) {
+std::string AgentServer::on_invalid_request(int status, const std::string& why) {
   return dump(
-      {{"type", "about:blank"}, {"title", http::reason_of(status)}, {"status", status}, {"detail", why}});
+      {{"type", "about:blank"}, {"title", http::reason_phrase(status)}, {"status", status}, {"detail", why}});
 }
 
 void AgentServer::on_request(http::Server::Ticket ticket, http::Request request) {
@@ -157,7 +157,7 @@
   if (!*over) asks_[ticket] = id;
 }
 
-void AgentServer::on_gone(http::Server::Ticket ticket) {
+void AgentServer::on_client_disconnected(http::Server::Ticket ticket) {
   listeners_.erase(ticket);
   const auto it = asks_.find(ticket);
   if (it == asks_.end()) return;
--- a/src/layers/agent_server.h
+++ b/src/layers/agent_server.h
@@ -17,11 +17,11 @@
   bool listen(const io::Address& at) { return server_.listen(at); }
   io::Address address() const { return server_.address(); }
   void drain() { server_.drain(); }
-  std::size_t owed() const { return server_.owed(); }
+  std::size_t owed() const { return server_.unanswered(); }
 
   void on_request(http::Server::Ticket ticket, http::Request request) override;
-  void on_gone(http::Server::Ticket ticket) override;
-  std::string on_bad(int status, const std::string& why) override;
+  void on_client_disconnected(http::Server::Ticket ticket) override;
+  std::string on_invalid_request(int status, const std::string& why) override;
 
  private:
   void pin(http::Server::Ticket ticket, const http::Request& request);
--- a/src/layers/client.cpp
+++ b/src/layers/client.cpp
@@ -59,7 +59,7 @@
   request.headers.add("Host", agent_.text());
   request.headers.add("Connection", "close");
   http::Limits limits;
-  limits.body = 64U << 20;  // a snapshot of many chunks
+  limits.max_body_bytes = 64U << 20;  // a snapshot of many chunks
   const std::uint64_t id = next_++;
   out_[id] = std::make_unique<http::Exchange>(host_, agent_, request, within, limits,
                                               [this, id, done = std::move(done)](http::Exchange::Result r) {
--- a/src/layers/remote.cpp
+++ b/src/layers/remote.cpp
@@ -82,7 +82,7 @@
     request.headers.add("Range", "bytes=" + std::to_string(out.request.offset) + "-" +
                                      std::to_string(out.request.offset + out.request.size - 1));
   http::Limits limits;
-  limits.body = out.request.size;
+  limits.max_body_bytes = out.request.size;
   const double slowest = static_cast<double>(out.request.size) / static_cast<double>(options_.pace);
   const Duration within =
       options_.within + (out.request.ranged
--- a/src/standin/broker.cpp
+++ b/src/standin/broker.cpp
@@ -142,7 +142,7 @@
     o.channel_max = broker.options_.channel_max;
     o.frame_max = broker.options_.frame_max;
     o.heartbeat_s = broker.options_.heartbeat_s;
-    o.most_body = broker.options_.most_body;
+    o.max_body_bytes = broker.options_.most_body;
     Table can;
     can.set("publisher_confirms", true).set("basic.nack", true).set("consumer_cancel_notify", true);
     can.set("per_consumer_qos", true);
--- a/src/standin/registry.cpp
+++ b/src/standin/registry.cpp
@@ -47,12 +47,12 @@
     std::size_t used = 0;
     if (busy_) return 0;  // one at a time
     const auto state = parser_.feed(bytes, used);
-    if (state == http::Parser::State::kBad) {
+    if (state == http::Parser::State::kInvalid) {
       connection_->finish();
       bury();
       return bytes.size();
     }
-    if (state == http::Parser::State::kMore) return used;
+    if (state == http::Parser::State::kNeedMore) return used;
     begin();
     return used;
   }
@@ -61,7 +61,7 @@
  private:
   static http::Limits limits(const Registry& registry) {
     http::Limits l;
-    l.body = registry.options_.most_body;
+    l.max_body_bytes = registry.options_.most_body;
     return l;
   }
   void bury() {
--- a/tests/amqp/codec_test.cpp
+++ b/tests/amqp/codec_test.cpp
@@ -34,20 +34,20 @@
   write_frame(well, FrameType::kBody, 1, std::string(4096 - 8, 'x'));
   write_frame(over, FrameType::kBody, 1, std::string(4096 - 7, 'x'));
   EXPECT_EQ(parse_frame(well, 4096).kind, FrameResult::Kind::kFrame);
-  EXPECT_EQ(parse_frame(std::string_view(over).substr(0, 7), 4096).kind, FrameResult::Kind::kBad);
+  EXPECT_EQ(parse_frame(std::string_view(over).substr(0, 7), 4096).kind, FrameResult::Kind::kInvalid);
 }
 
 TEST(AmqpFrame, LyingLengthIsBad) {
   std::string out;
   write_frame(out, FrameType::kBody, 1, "four");
   out[6] = 3;  // the end octet is not where the length says
-  EXPECT_EQ(parse_frame(out, 4096).kind, FrameResult::Kind::kBad);
+  EXPECT_EQ(parse_frame(out, 4096).kind, FrameResult::Kind::kInvalid);
 }
 
 TEST(AmqpFrame, UnknownTypeIsBadAtOnce) {
-  EXPECT_EQ(parse_frame("G", 0).kind, FrameResult::Kind::kBad);
+  EXPECT_EQ(parse_frame("G", 0).kind, FrameResult::Kind::kInvalid);
   EXPECT_EQ(parse_frame(bytes_of({8, 0, 1, 0, 0, 0, 0}), 0).kind,
-            FrameResult::Kind::kBad);  // heartbeat on a channel
+            FrameResult::Kind::kInvalid);  // heartbeat on a channel
 }
 
 TEST(AmqpMethod, QueueDeclareAsTheSpecificationHasIt) {
@@ -142,7 +142,7 @@
   EXPECT_TRUE(fails(bytes_of({0, 0, 0, 9, 1, 'k', 't'})));              // longer than what there is
   EXPECT_TRUE(fails(bytes_of({0, 0, 0, 7, 1, 'k', 'S', 0, 0, 0, 9})));  // a text longer than its table
   Table deep;
-  for (int i = 0; i < kMostNesting + 1; ++i) {
+  for (int i = 0; i < kMaxNesting + 1; ++i) {
     Table outer;
     outer.set("k", std::move(deep));
     deep = std::move(outer);
--- a/tests/controller/invoke_test.cpp
+++ b/tests/controller/invoke_test.cpp
@@ -430,8 +430,8 @@
     answer.status = refuse-- > 0 ? 500 : 204;
     server.respond(t, answer);
   }
-  void on_gone(http::Server::Ticket) override {}
-  std::string on_bad(int, const std::string& why) override { return why; }
+  void on_client_disconnected(http::Server::Ticket) override {}
+  std::string on_invalid_request(int, const std::string& why) override { return why; }
 };
 const Fields kCallback{{"Prefer", "respond-async"}, {"Call-Callback", "http://127.0.0.1:9000/done?x=1"}};
 
--- a/tests/http/message_test.cpp
+++ b/tests/http/message_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 struct Read {
-  Parser::State state = Parser::State::kMore;
+  Parser::State state = Parser::State::kNeedMore;
   Request request;
   int error = 0;
   std::string why;
@@ -17,18 +17,18 @@
 };
 Limits small() {
   Limits l;
-  l.body = 1000;
+  l.max_body_bytes = 1000;
   return l;
 }
 Read read(std::string_view bytes, std::size_t piece = 0) {
   Parser p(Parser::Side::kRequest, small());
   Read r;
-  while (r.used < bytes.size() && r.state == Parser::State::kMore) {
+  while (r.used < bytes.size() && r.state == Parser::State::kNeedMore) {
     std::size_t used = 0;
     const std::string_view next = bytes.substr(r.used, piece ? piece : std::string_view::npos);
     r.state = p.feed(next, used);
     r.used += used;
-    if (used == 0 && r.state == Parser::State::kMore) break;
+    if (used == 0 && r.state == Parser::State::kNeedMore) break;
   }
   r.request = p.request(), r.error = p.error(), r.why = p.why();
   return r;
@@ -195,7 +195,7 @@
   for (const Bad& bad : all)
     for (const std::size_t piece : {std::size_t{0}, std::size_t{1}, std::size_t{7}}) {
       const Read r = read(bad.bytes, piece);
-      EXPECT_EQ(r.state, Parser::State::kBad) << testing::PrintToString(bad.bytes.substr(0, 120));
+      EXPECT_EQ(r.state, Parser::State::kInvalid) << testing::PrintToString(bad.bytes.substr(0, 120));
       EXPECT_EQ(r.error, bad.status) << testing::PrintToString(bad.bytes.substr(0, 120)) << " " << r.why;
       EXPECT_FALSE(r.why.empty());
     }
@@ -228,16 +228,17 @@
     Parser p(Parser::Side::kResponse, small());
     std::size_t used = 0;
     Parser::State s = p.feed(bytes, used);
-    if (s == Parser::State::kMore && closed) s = p.end();
+    if (s == Parser::State::kNeedMore && closed) s = p.end();
     return std::tuple(s, p.status(), p.body());
   };
   EXPECT_EQ(parse("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"),
             std::tuple(Parser::State::kDone, 200, "hi"));
   EXPECT_EQ(parse("HTTP/1.1 200 \r\n\r\nuntil", true), std::tuple(Parser::State::kDone, 200, "until"));
-  EXPECT_EQ(std::get<0>(parse("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi", true)), Parser::State::kMore);
+  EXPECT_EQ(std::get<0>(parse("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi", true)),
+            Parser::State::kNeedMore);
   EXPECT_EQ(parse("HTTP/1.1 204 No Content\r\n\r\n"), std::tuple(Parser::State::kDone, 204, ""));
-  EXPECT_EQ(std::get<0>(parse("HTTP/1.1 2x0 OK\r\n\r\n")), Parser::State::kBad);
-  EXPECT_EQ(std::get<0>(parse("SSH-2.0-x\r\n")), Parser::State::kBad);
+  EXPECT_EQ(std::get<0>(parse("HTTP/1.1 2x0 OK\r\n\r\n")), Parser::State::kInvalid);
+  EXPECT_EQ(std::get<0>(parse("SSH-2.0-x\r\n")), Parser::State::kInvalid);
 }
 
 TEST(HttpParser, Targets) {
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -53,8 +53,8 @@
     r.body = "answer to " + requests[i].second.target;
     server->respond(requests[i].first, r);
   }
-  void on_gone(Server::Ticket t) override { gone.push_back(t); }
-  std::string on_bad(int, const std::string& why) override { return why; }
+  void on_client_disconnected(Server::Ticket t) override { gone.push_back(t); }
+  std::string on_invalid_request(int, const std::string& why) override { return why; }
   static std::string get(const std::string& target) {
     return "GET " + target + " HTTP/1.1\r\nHost: a\r\n\r\n";
   }
@@ -220,7 +220,7 @@
 }
 
 TEST_F(HttpServer, ConnectionsAreBounded) {
-  options.most_connections = 2;
+  options.max_connections = 2;
   start();
   Raw a(net, at), b(net, at);
   net.run_for(10ms);
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -106,7 +106,7 @@
   listener.reset();
   ASSERT_TRUE(run_until([&] { return !taken.empty() && taken[0]->heard == "request"; }));
   RawSocket late({"127.0.0.1", 1});
-  EXPECT_FALSE(late.stands());
+  EXPECT_FALSE(late.is_connected());
 }
 
 // Turned away or let go, a descriptor is free within the call, not some turns of the loop later.
--- a/tests/node/crossings_test.cpp
+++ b/tests/node/crossings_test.cpp
@@ -352,9 +352,9 @@
   // What a connection that came up late brings, if one comes; nothing comes after a fifth of a second of
   // silence.
   std::vector<int> brought() {
-    invoker.room();
+    invoker.free_backlog();
     RawSocket late;
-    if (!run_until([&] { return late = invoker.take(), late.stands(); }, 3s)) return {};
+    if (!run_until([&] { return late = invoker.accept_one(), late.is_connected(); }, 3s)) return {};
     run_until([&] { return !late.read().empty() || late.ended(); }, 200ms);
     return frames(late.read());
   }
@@ -414,7 +414,7 @@
     client = RawSocket(node->address());
     id = ids;
     client.write(call(1, "release"));
-    ASSERT_TRUE(run_until([&] { return link = invoker.take(), link.stands(); }));
+    ASSERT_TRUE(run_until([&] { return link = invoker.accept_one(), link.is_connected(); }));
     ASSERT_TRUE(run_until([&] { return frames(link.read()) == std::vector<int>{65}; }));
   }
   std::string ok(const std::string& body = "done") {
@@ -444,7 +444,7 @@
   ASSERT_TRUE(run_until([&] { return !answers(client.read()).empty(); }));
   run_for(50ms);
   EXPECT_EQ(answers(client.read()), Kinds{"failed"});
-  for (RawSocket s = invoker.take(); s.stands(); s = invoker.take())
+  for (RawSocket s = invoker.accept_one(); s.is_connected(); s = invoker.accept_one())
     for (const int code : frames(s.read())) EXPECT_NE(code, 65);  // it may have run: no other attempt
 }
 
@@ -510,7 +510,7 @@
       call.name = platform::id_text(c), call.function = platform::id_text(7), call.request_class = "read";
       link.call(std::move(call), std::string(16 << 10, 'x'), c);
       if (c > 1) continue;
-      ASSERT_TRUE(run_until([&] { return peer = invoker.take(), peer.stands(); }));
+      ASSERT_TRUE(run_until([&] { return peer = invoker.accept_one(), peer.is_connected(); }));
       ASSERT_TRUE(run_until([&] { return !peer.read().empty(); }));
     }
   }
@@ -557,7 +557,7 @@
   }
   void SetUp() override {
     call();
-    ASSERT_TRUE(run_until([&] { return peer = invoker.take(), peer.stands(); }));
+    ASSERT_TRUE(run_until([&] { return peer = invoker.accept_one(), peer.is_connected(); }));
     ASSERT_TRUE(run_until([&] { return !peer.read().empty(); }));
     while (link.unsent() == 0 && calls < 4 * kCalls) call();
     ASSERT_GT(link.unsent(), 0U);
@@ -605,7 +605,7 @@
   doc["bus"] = raw.address().text();
   start();
   RawSocket watch;
-  ASSERT_TRUE(run_until([&] { return watch = raw.take(), watch.stands(); }));
+  ASSERT_TRUE(run_until([&] { return watch = raw.accept_one(), watch.is_connected(); }));
   watch.write("HTTP/1.1 200 OK\r\n\r\n:\n\n");
   run_for(100ms);
   const auto current = [&] { return node->core().module().list_is_valid(loop.now()); };
@@ -617,7 +617,7 @@
   });
   held->start(0ms);
   RawSocket next;
-  ASSERT_TRUE(run_until([&] { return next = raw.take(), next.stands(); }));
+  ASSERT_TRUE(run_until([&] { return next = raw.accept_one(), next.is_connected(); }));
   EXPECT_FALSE(current());
   next.write("HTTP/1.1 200 OK\r\n\r\n:\n\n");
   ASSERT_TRUE(run_until(current));
--- a/tests/sockets.h
+++ b/tests/sockets.h
@@ -49,7 +49,7 @@
   }
   ~RawSocket() { close(); }
 
-  bool stands() const { return fd_ >= 0 && error_ == 0; }
+  bool is_connected() const { return fd_ >= 0 && error_ == 0; }
   int error() const { return error_; }
   void write(std::string_view bytes) {
     ASSERT_EQ(send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL), ssize_t(bytes.size()));
@@ -109,12 +109,12 @@
     getsockname(fd_, reinterpret_cast<sockaddr*>(&raw), &size);
     return {"127.0.0.1", ntohs(raw.sin_port)};
   }
-  void room() {
+  void free_backlog() {
     RawSocket filled(accept(fd_, nullptr, nullptr));
     filler_.close();
   }
   // Not standing where none waits.
-  RawSocket take() { return RawSocket(accept(fd_, nullptr, nullptr)); }
+  RawSocket accept_one() { return RawSocket(accept(fd_, nullptr, nullptr)); }
 
  private:
   int fd_;
