--- a/src/controller/invoke.cpp
+++ b/src/controller/invoke.cpp
@@ -23,9 +23,9 @@
 
 http::ServerOptions server_options(const config::Settings& settings) {
   http::ServerOptions o;
-  o.limits.body = settings.gateway.most_body;
-  o.head_within = settings.invoke.head_within, o.body_within = settings.invoke.body_within;
-  o.most_connections = settings.invoke.most_connections;
+  o.limits.max_body_bytes = settings.gateway.most_body;
+  o.header_timeout = settings.invoke.head_within, o.body_timeout = settings.invoke.body_within;
+  o.max_connections = settings.invoke.most_connections;
   return o;
 }
 
@@ -64,9 +64,9 @@
 
 // ---- Responses --------------------------------------------------------------------------------------------
 
-std::string InvokeFront::on_bad(int status, const std::string& why) {
+std::string InvokeFront::on_invalid_request(int status, const std::string& why) {
   return dump(
-      {{"type", "about:blank"}, {"title", http::reason_of(status)}, {"status", status}, {"detail", why}});
+      {{"type", "about:blank"}, {"title", http::reason_phrase(status)}, {"status", status}, {"detail", why}});
 }
 
 void InvokeFront::respond_with_problem(Ticket ticket, int status, const std::string& detail,
@@ -75,7 +75,7 @@
   response.status = status;
   response.headers = std::move(headers);
   response.headers.add("Content-Type", "application/problem+json");
-  response.body = on_bad(status, detail);
+  response.body = on_invalid_request(status, detail);
   server_.respond(ticket, std::move(response));
 }
 
@@ -222,7 +222,7 @@
   if (request_class.semantics == Semantics::kKeyed && parsed.call.key.empty())
     return refuse(400, "a call of this class needs header Call-Key or Idempotency-Key");
   for (const auto& [header, value] : h.all())
-    if (http::same_name(header, "Prefer")) {
+    if (http::equal_ignoring_case(header, "Prefer")) {
       const Preferences p = parse_prefer(value);
       parsed.deferred |= p.respond_async;
       if (p.wait_s) parsed.wait_s = p.wait_s;
@@ -406,7 +406,7 @@
   });
 }
 
-void InvokeFront::on_gone(Ticket ticket) {
+void InvokeFront::on_client_disconnected(Ticket ticket) {
   const auto it = call_id_by_waiting_client_.find(ticket);
   if (it == call_id_by_waiting_client_.end()) return;
   const std::string id = it->second;
@@ -574,7 +574,7 @@
 }
 
 bool InvokeFront::drained() const {
-  return open_calls_.empty() && backlog_.empty() && callbacks_.empty() && server_.owed() == 0;
+  return open_calls_.empty() && backlog_.empty() && callbacks_.empty() && server_.unanswered() == 0;
 }
 
 }  // namespace laureltide::controller
