--- a/bench/fetches.cpp
+++ b/bench/fetches.cpp
@@ -34,12 +34,12 @@
     s.add(now, f);
   };
   while (s.size() < waiting) add();
-  std::deque<layers::Start> out;
+  std::deque<layers::ScheduledAttempt> out;
   const auto from = Clock::now();
   for (int i = 0; i < kSteps; ++i) {
     now += 100us;
     while (const auto start = s.next(now)) out.push_back(*start);
-    s.ended(now, out.front().id, out.front().attempt, layers::FetchEnd::kWell, {});
+    s.on_attempt_ended(now, out.front().id, out.front().attempt, layers::FetchOutcome::kOk, {});
     out.pop_front();
     add();
   }
--- a/src/apps/layers.cpp
+++ b/src/apps/layers.cpp
@@ -32,7 +32,7 @@
 
 int run(const Options& o) {
   lt::net::Loop loop;
-  lt::layers::OciOptions remote_options;
+  lt::layers::RegistryClientOptions remote_options;
   for (const std::string& text : o.stores) {
     const auto address = lt::io::parse_address(text);
     if (!address) return std::cerr << "--store: expected ADDRESS:PORT, found " << text << '\n', 2;
@@ -53,10 +53,10 @@
   lt::layers::AgentOptions options;
   options.capacity = static_cast<std::uint64_t>(o.capacity_mb * 1048576);
   options.prefix = o.prefix, options.tag = o.tag;
-  options.look_every = from_s(o.look_s), options.lease = from_s(o.lease_s);
+  options.tag_poll_interval = from_s(o.look_s), options.lease = from_s(o.lease_s);
   options.replicas = static_cast<std::uint32_t>(o.stores.size());
-  options.scheduler.most_window = static_cast<double>(o.store_at_once);
-  lt::layers::OciRemote remote(loop, remote_options);
+  options.scheduler.max_window = static_cast<double>(o.store_at_once);
+  lt::layers::RegistryClient remote(loop, remote_options);
   lt::layers::Agent agent(loop, *opened.disk, remote, options, [](bool warn, const std::string& line) {
     spdlog::log(warn ? spdlog::level::warn : spdlog::level::info, "{}", line);
   });
--- a/src/apps/layers_tool.cpp
+++ b/src/apps/layers_tool.cpp
@@ -106,7 +106,7 @@
 }
 
 int LayersTool::run_pack() const {
-  const layers::CutOptions options{average_kb << 10};
+  const layers::ChunkerOptions options{average_kb << 10};
   if (!options.valid())
     return std::cerr << "laureltide layers: --average-kb: expected a power of two from 4 to 4096\n", 2;
   if (!layers::valid_repository(prefix + function))
@@ -159,8 +159,8 @@
   std::optional<layers::Layout> other;
   if (!against.empty() && !(other = layers::read_layout(against, why)))
     return std::cerr << "laureltide layers: " << why << '\n', 1;
-  const layers::Lacking lack =
-      layers::lacking(layout->indexes, other ? other->indexes : std::vector<layers::Index>{});
+  const layers::MissingChunks lack =
+      layers::missing_chunks(layout->indexes, other ? other->indexes : std::vector<layers::Index>{});
   if (json) {
     nlohmann::json all = nlohmann::json::array();
     for (std::size_t i = 0; i < layout->indexes.size(); ++i)
--- a/src/apps/play.cpp
+++ b/src/apps/play.cpp
@@ -111,7 +111,7 @@
   r.cold_capacity_share = day.cold_capacity_share, r.cold_for_s = s(day.cold_duration),
   r.overload_multiple = day.overload_multiple;
   r.overload_for_s = s(day.overload_duration), r.worker_cores = day.cores;
-  r.answers_may_repeat = day.confirm_mode || day.acknowledge_on_take;
+  r.allow_repeated_answers = day.confirm_mode || day.acknowledge_on_take;
   r.order_window_s = s(day.order_window), r.order_floor = day.order_floor,
   r.orders_per_call = day.orders_per_call;
   for (const DayClass& c : day.classes) {
@@ -455,12 +455,13 @@
   std::cout << "layers: " << v.versions << " versions of " << v.functions << " functions released, "
             << v.boxes << " boxes fetched " << v.ranges << " ranges, " << v.bytes << " bytes; " << v.runs
             << " runs on a known version, " << v.renewed << " of a later release\n";
-  std::cout << "layers (each chunk once a box): " << (v.once.empty() ? "kept" : "BROKEN") << '\n';
-  for (std::size_t i = 0; i < std::min<std::size_t>(5, v.once.size()); ++i)
-    std::cout << "  " << v.once[i] << '\n';
-  std::cout << "layers (no call on mixed versions): " << (v.mixed.empty() ? "kept" : "BROKEN") << '\n';
-  for (std::size_t i = 0; i < std::min<std::size_t>(5, v.mixed.size()); ++i)
-    std::cout << "  " << v.mixed[i] << '\n';
+  std::cout << "layers (each chunk once a box): " << (v.duplicate_sends.empty() ? "kept" : "BROKEN") << '\n';
+  for (std::size_t i = 0; i < std::min<std::size_t>(5, v.duplicate_sends.size()); ++i)
+    std::cout << "  " << v.duplicate_sends[i] << '\n';
+  std::cout << "layers (no call on mixed versions): " << (v.wrong_versions.empty() ? "kept" : "BROKEN")
+            << '\n';
+  for (std::size_t i = 0; i < std::min<std::size_t>(5, v.wrong_versions.size()); ++i)
+    std::cout << "  " << v.wrong_versions[i] << '\n';
 }
 
 }  // namespace
@@ -507,9 +508,14 @@
                                " was passed");
     auto doc = verdict.report();
     if (const auto& l = player.layers())
-      doc["layers"] = {{"once", l->once},   {"mixed", l->mixed},    {"versions", l->versions},
-                       {"boxes", l->boxes}, {"ranges", l->ranges},  {"bytes", l->bytes},
-                       {"runs", l->runs},   {"renewed", l->renewed}};
+      doc["layers"] = {{"once", l->duplicate_sends},
+                       {"mixed", l->wrong_versions},
+                       {"versions", l->versions},
+                       {"boxes", l->boxes},
+                       {"ranges", l->ranges},
+                       {"bytes", l->bytes},
+                       {"runs", l->runs},
+                       {"renewed", l->renewed}};
     if (!report.empty()) std::ofstream(report) << doc.dump(2) << '\n';
     if (keep.empty() && kept) std::filesystem::remove_all(dir);
     if (keep.empty() && !kept) std::cout << "tapes and logs: " << dir << '\n';
--- a/src/check/judge.cpp
+++ b/src/check/judge.cpp
@@ -200,7 +200,7 @@
   void one_answer(const std::string& name, const Call& c) {
     if (!c.was_sent) return;
     if (c.wants_answer) {
-      const bool repeated = rules_.answers_may_repeat &&
+      const bool repeated = rules_.allow_repeated_answers &&
                             std::all_of(c.answers.begin(), c.answers.end(),
                                         [&](const Call::Answer& a) { return a.same(c.answers.front()); });
       if (repeated)
--- a/src/check/judge.h
+++ b/src/check/judge.h
@@ -21,7 +21,7 @@
   double drain_grace_s = 1, answer_grace_s = 0.5;
   double cold_capacity_share = 1, cold_for_s = 0, overload_multiple = 0, overload_for_s = 1, worker_cores = 1;
   // Answers are given at least once, not exactly once: one that is the same, by its own id, may come again.
-  bool answers_may_repeat = false;
+  bool allow_repeated_answers = false;
   double order_window_s = 0, order_floor = 0, orders_per_call = 0;
   std::map<std::string, ClassRule> classes;
   std::map<std::string, std::string> class_of_function;
--- a/src/check/layers.cpp
+++ b/src/check/layers.cpp
@@ -46,24 +46,24 @@
       const bool into_next = next != ranges.end() && next->first < to;
       const bool into_last = next != ranges.begin() && std::prev(next)->second > from;
       if (into_next || into_last)
-        v.once.push_back(box + " was sent bytes " + std::to_string(from) + " to " + std::to_string(to) +
-                         " of " + blob + " again");
+        v.duplicate_sends.push_back(box + " was sent bytes " + std::to_string(from) + " to " +
+                                    std::to_string(to) + " of " + blob + " again");
       ranges[from] = std::max<std::uint64_t>(to, ranges[from]);
     } else if (what == "ran") {
       const std::string who = "worker " + std::to_string(note.value("worker", 0)) + " ran call " +
                               note.value("call", "") + " of " + note.value("function", "");
       const auto it = versions.find(note.value("version", ""));
       if (it == versions.end()) {
-        v.mixed.push_back(who + " on no released version");
+        v.wrong_versions.push_back(who + " on no released version");
         continue;
       }
       ++v.runs;
       if (it->second.release > 1) ++v.renewed;
       if (it->second.function != note.value("function", ""))
-        v.mixed.push_back(who + " on a version of " + it->second.function);
+        v.wrong_versions.push_back(who + " on a version of " + it->second.function);
       else if (it->second.layers != note.value("layers", nlohmann::json()))
-        v.mixed.push_back(who + " on bytes that are not those of release " +
-                          std::to_string(it->second.release));
+        v.wrong_versions.push_back(who + " on bytes that are not those of release " +
+                                   std::to_string(it->second.release));
     }
   }
   v.boxes = boxes.size();
--- a/src/check/layers.h
+++ b/src/check/layers.h
@@ -9,11 +9,12 @@
 namespace laureltide::check {
 
 struct LayersVerdict {
-  std::vector<std::string> once;   // bytes that a box was sent more than once
-  std::vector<std::string> mixed;  // calls that ran on anything but one released version, as released
+  std::vector<std::string> duplicate_sends;  // bytes that a box was sent more than once
+  std::vector<std::string>
+      wrong_versions;  // calls that ran on anything but one released version, as released
   std::size_t versions = 0, functions = 0, boxes = 0, ranges = 0, runs = 0, renewed = 0;
   std::uint64_t bytes = 0;
-  bool kept() const { return once.empty() && mixed.empty(); }
+  bool kept() const { return duplicate_sends.empty() && wrong_versions.empty(); }
 };
 
 // `tape`: objects as docs/days.md has them; the notes are `release`, `store-sent` and `ran`.
--- a/src/layers/agent.cpp
+++ b/src/layers/agent.cpp
@@ -145,7 +145,8 @@
   const bool slept = f.used == Time{} || host_.now() - f.used > options_.look_for;
   f.used = host_.now();
   if (slept && !f.look_job)
-    f.timer->start(std::chrono::duration_cast<Duration>(options_.look_every * (0.5 + host_.random_unit())));
+    f.timer->start(
+        std::chrono::duration_cast<Duration>(options_.tag_poll_interval * (0.5 + host_.random_unit())));
 }
 
 std::uint64_t Agent::ask(Ask ask, Done done) {
@@ -239,7 +240,8 @@
 
 void Agent::on_tag(Function& f, std::optional<std::string> bytes, const NoSnapshot& no) {
   f.look_job.reset();
-  f.timer->start(std::chrono::duration_cast<Duration>(options_.look_every * (0.5 + host_.random_unit())));
+  f.timer->start(
+      std::chrono::duration_cast<Duration>(options_.tag_poll_interval * (0.5 + host_.random_unit())));
   const auto asks = std::exchange(f.asks, {});
   std::string why;
   auto manifest = bytes ? parse_manifest(*bytes, why) : std::nullopt;
@@ -504,8 +506,8 @@
   if (on_news) on_news();
 }
 
-std::vector<ReleaseNews> Agent::releases() const {
-  std::vector<ReleaseNews> all;
+std::vector<ReleaseStatus> Agent::releases() const {
+  std::vector<ReleaseStatus> all;
   for (const auto& [name, f] : functions_) {
     auto add = [&, domain = f.domain, function = name](const std::optional<Digest>& digest) {
       const auto it = digest ? versions_.find({domain, *digest}) : versions_.end();
@@ -605,7 +607,7 @@
   if (it == jobs_.end()) return;
   Job& mine = it->second;
   mine.out.erase(attempt);
-  if (result.end == FetchEnd::kWell) {
+  if (result.end == FetchOutcome::kOk) {
     counters_.fetched_bytes += result.bytes.size();
     bool fits = true;
     if (mine.kind == Job::Kind::kChunk) fits = digest_of(result.bytes) == mine.chunk.stored;
@@ -613,11 +615,12 @@
       fits = digest_of(result.bytes) == mine.expected;
     if (!fits) {
       ++counters_.corrupt;
-      result.end = FetchEnd::kCorrupt;
+      result.end = FetchOutcome::kCorrupt;
     }
   }
   if (!result.why.empty()) mine.detail = result.why;
-  const Verdict verdict = scheduler_.ended(host_.now(), id, attempt, result.end, result.retry_after);
+  const Verdict verdict =
+      scheduler_.on_attempt_ended(host_.now(), id, attempt, result.end, result.retry_after);
   turn_->start(Duration(0));
   switch (verdict.kind) {
     case Verdict::Kind::kDone:
@@ -628,7 +631,7 @@
         }
       return job_done(id, std::move(result.bytes));
     case Verdict::Kind::kGaveUp: {
-      const bool unknown = result.end == FetchEnd::kMissing && mine.kind != Job::Kind::kIndex &&
+      const bool unknown = result.end == FetchOutcome::kMissing && mine.kind != Job::Kind::kIndex &&
                            mine.kind != Job::Kind::kChunk;
       const std::string detail = mine.detail.empty() ? "" : ": " + mine.detail;
       return job_failed(
@@ -702,7 +705,7 @@
               [this, id, alive = alive_](DiskEnd end, const std::string& why) {
                 if (!*alive) return;
                 Job& here = jobs_.at(id);
-                if (end == DiskEnd::kWell) {
+                if (end == DiskEnd::kOk) {
                   shelf_.written(here.key);
                   return chunk_stands(id);
                 }
@@ -723,7 +726,7 @@
   disk_.prove(mine.key, mine.chunk.content, [this, id, alive = alive_](DiskEnd end, const std::string&) {
     if (!*alive) return;
     Job& here = jobs_.at(id);
-    if (end == DiskEnd::kWell) {
+    if (end == DiskEnd::kOk) {
       shelf_.proven(here.key);
       return chunk_stands(id);
     }
--- a/src/layers/agent.h
+++ b/src/layers/agent.h
@@ -34,12 +34,12 @@
 namespace laureltide::layers {
 
 struct AgentOptions {
-  std::uint64_t capacity = std::uint64_t{10} << 30;  // bytes of chunks on the disk
-  std::string prefix = "functions/";                 // of repositories: prefix + function
-  std::string tag = "current";                       // that names a function's release
-  Duration look_every = std::chrono::seconds(5);     // at the tag of a function in use, jittered
-  Duration look_for = std::chrono::minutes(30);      // after its last use; then only when asked for
-  Duration lease = std::chrono::seconds(10);         // of a worker's pins, without a word of it
+  std::uint64_t capacity = std::uint64_t{10} << 30;      // bytes of chunks on the disk
+  std::string prefix = "functions/";                     // of repositories: prefix + function
+  std::string tag = "current";                           // that names a function's release
+  Duration tag_poll_interval = std::chrono::seconds(5);  // at the tag of a function in use, jittered
+  Duration look_for = std::chrono::minutes(30);          // after its last use; then only when asked for
+  Duration lease = std::chrono::seconds(10);             // of a worker's pins, without a word of it
   std::uint32_t replicas = 1;
   std::size_t most_asks = 4096, most_pins = 65'536, most_functions = 4096, most_workers = 4096;
   SchedulerOptions scheduler;
@@ -77,7 +77,7 @@
 };
 
 // What a function's versions are doing here: for workers, which tell their controllers.
-struct ReleaseNews {
+struct ReleaseStatus {
   std::string function;
   std::uint64_t release = 0;
   Digest version;
@@ -110,7 +110,7 @@
 
   // Rises with every change of `releases()`.
   std::uint64_t sequence() const { return sequence_; }
-  std::vector<ReleaseNews> releases() const;
+  std::vector<ReleaseStatus> releases() const;
   std::function<void()> on_news;
 
   const AgentCounters& counters() const { return counters_; }
--- a/src/layers/agent_server.cpp
+++ b/src/layers/agent_server.cpp
@@ -182,7 +182,7 @@
 
 void AgentServer::say_releases(http::Server::Ticket ticket) {
   json all = json::array();
-  for (const ReleaseNews& r : agent_.releases())
+  for (const ReleaseStatus& r : agent_.releases())
     all.push_back({{"function", r.function},
                    {"release", r.release},
                    {"version", r.version.text()},
--- a/src/layers/chunker.cpp
+++ b/src/layers/chunker.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-std::size_t first_cut(std::string_view bytes, const CutOptions& options) {
+std::size_t first_cut(std::string_view bytes, const ChunkerOptions& options) {
   const std::size_t end = std::min(bytes.size(), options.most());
   if (end <= options.least()) return end;
   const int bits = std::countr_zero(options.average);
@@ -47,7 +47,7 @@
   return end;
 }
 
-std::vector<std::size_t> cut(std::string_view bytes, const CutOptions& options) {
+std::vector<std::size_t> cut(std::string_view bytes, const ChunkerOptions& options) {
   std::vector<std::size_t> sizes;
   while (!bytes.empty()) {
     sizes.push_back(first_cut(bytes, options));
@@ -56,7 +56,7 @@
   return sizes;
 }
 
-std::vector<std::size_t> cut_fixed(std::string_view bytes, const CutOptions& options) {
+std::vector<std::size_t> cut_fixed(std::string_view bytes, const ChunkerOptions& options) {
   std::vector<std::size_t> sizes;
   for (std::size_t left = bytes.size(); left > 0; left -= sizes.back())
     sizes.push_back(std::min(left, options.average));
--- a/src/layers/chunker.h
+++ b/src/layers/chunker.h
@@ -11,7 +11,7 @@
 
 namespace laureltide::layers {
 
-struct CutOptions {
+struct ChunkerOptions {
   std::size_t average = 64U << 10;  // a power of two; docs/layers.md has what others fetch
   std::size_t least() const { return average / 4; }
   std::size_t most() const { return average * 4; }
@@ -21,10 +21,10 @@
 };
 
 // How many bytes the first chunk of `bytes` has; all of them if no cut comes.
-std::size_t first_cut(std::string_view bytes, const CutOptions& options);
+std::size_t first_cut(std::string_view bytes, const ChunkerOptions& options);
 // The sizes of all chunks, in order; their sum is the size of `bytes`.
-std::vector<std::size_t> cut(std::string_view bytes, const CutOptions& options);
+std::vector<std::size_t> cut(std::string_view bytes, const ChunkerOptions& options);
 // Every `average` bytes: what content-defined cuts are measured against.
-std::vector<std::size_t> cut_fixed(std::string_view bytes, const CutOptions& options);
+std::vector<std::size_t> cut_fixed(std::string_view bytes, const ChunkerOptions& options);
 
 }  // namespace laureltide::layers
--- a/src/layers/client.cpp
+++ b/src/layers/client.cpp
@@ -96,7 +96,7 @@
   send(std::move(request), kWithin, [](const http::Exchange::Result&) {});
 }
 
-void AgentClient::follow(std::function<void(const std::vector<ReleaseNews>&)> news) {
+void AgentClient::watch_releases(std::function<void(const std::vector<ReleaseStatus>&)> news) {
   news_ = std::move(news);
   listen();
 }
@@ -113,7 +113,7 @@
          try {
            if (doc.is_object()) {
              const std::uint64_t sequence = doc.at("sequence");
-             std::vector<ReleaseNews> all;
+             std::vector<ReleaseStatus> all;
              for (const json& one : doc.at("releases")) {
                const auto version = parse_digest(one.at("version").get<std::string>());
                if (version) all.push_back({one.at("function"), one.at("release"), *version, one.at("whole")});
--- a/src/layers/client.h
+++ b/src/layers/client.h
@@ -26,7 +26,7 @@
            Pinned done);
   void unpin(std::uint64_t pin);
   // Calls `news` with all releases now and at each change.
-  void follow(std::function<void(const std::vector<ReleaseNews>&)> news);
+  void watch_releases(std::function<void(const std::vector<ReleaseStatus>&)> news);
 
  private:
   using Done = std::function<void(http::Exchange::Result)>;
@@ -41,7 +41,7 @@
   io::Graveyard<http::Exchange> dead_;
   std::uint64_t next_ = 1, sequence_ = 0;
   std::unique_ptr<io::Timer> beat_, listen_;
-  std::function<void(const std::vector<ReleaseNews>&)> news_;
+  std::function<void(const std::vector<ReleaseStatus>&)> news_;
 };
 
 }  // namespace laureltide::layers
--- a/src/layers/disk.h
+++ b/src/layers/disk.h
@@ -21,7 +21,7 @@
 namespace laureltide::layers {
 
 enum class DiskEnd {
-  kWell,
+  kOk,
   kCorrupt,  // the bytes are not what their digest says
   kFull,     // no space left
   kBroken    // any other trouble
--- a/src/layers/files.cpp
+++ b/src/layers/files.cpp
@@ -95,7 +95,7 @@
       DiskEnd end = DiskEnd::kCorrupt;
       if (const auto plain = unpack_chunk(frame, chunk, why)) end = write_file(key, *plain, why);
       tell([this, key, size = chunk.size, end, why, done] {
-        if (end == DiskEnd::kWell) {
+        if (end == DiskEnd::kOk) {
           std::string value;
           Writer w(value);
           w.u64(next_order_++), w.u32(size);
@@ -111,7 +111,7 @@
     give([this, key, content, done = std::move(done)] {
       const bool well = digest_of_file(path(key)) == content;
       tell([well, done] {
-        done(well ? DiskEnd::kWell : DiskEnd::kCorrupt, well ? "" : "the file is not what its digest says");
+        done(well ? DiskEnd::kOk : DiskEnd::kCorrupt, well ? "" : "the file is not what its digest says");
       });
     });
   }
@@ -159,7 +159,7 @@
       return why = std::strerror(error), end_of(error);
     }
     step("chunk-renamed");
-    return DiskEnd::kWell;
+    return DiskEnd::kOk;
   }
 
   static std::optional<Digest> digest_of_file(const std::string& file) {
--- a/src/layers/format.cpp
+++ b/src/layers/format.cpp
@@ -155,8 +155,8 @@
   return index;
 }
 
-Packed pack_layer(std::string_view plain, const CutOptions& options, int level) {
-  Packed out;
+PackedLayer pack_layer(std::string_view plain, const ChunkerOptions& options, int level) {
+  PackedLayer out;
   out.index.content = digest_of(plain);
   out.index.size = plain.size();
   std::string frame;
--- a/src/layers/format.h
+++ b/src/layers/format.h
@@ -62,12 +62,12 @@
 std::string write_index(const Index& index);
 std::optional<Index> parse_index(std::string_view bytes, std::string& why);
 
-struct Packed {
+struct PackedLayer {
   std::string blob, index_bytes;
   Index index;
 };
 // `level`: zstd's. The same bytes, options and library give the same blob.
-Packed pack_layer(std::string_view plain, const CutOptions& options, int level = 3);
+PackedLayer pack_layer(std::string_view plain, const ChunkerOptions& options, int level = 3);
 
 // The plain bytes of a chunk's frame; nothing, with the reason, if a digest or size does not fit. What does
 // not have the stored digest is not unpacked.
--- a/src/layers/layout.cpp
+++ b/src/layers/layout.cpp
@@ -34,7 +34,7 @@
 }
 
 std::string write_layout(const std::string& directory, const std::string& function, std::uint64_t release,
-                         const std::vector<LayerFile>& files, const CutOptions& options, int level) {
+                         const std::vector<LayerFile>& files, const ChunkerOptions& options, int level) {
   std::error_code error;
   if (fs::exists(directory, error) && !fs::is_empty(directory, error)) return directory + " is not empty";
   fs::create_directories(directory + "/blobs/sha256", error);
@@ -47,7 +47,7 @@
   for (const LayerFile& file : files) {
     const auto plain = read_file(file.path);
     if (!plain) return file.path + " cannot be read";
-    const Packed packed = pack_layer(*plain, options, level);
+    const PackedLayer packed = pack_layer(*plain, options, level);
     LayerRef layer;
     layer.title = file.title;
     layer.blob = digest_of(packed.blob), layer.blob_size = packed.blob.size();
@@ -133,11 +133,11 @@
   return {};
 }
 
-Lacking lacking(const std::vector<Index>& want, const std::vector<Index>& have) {
+MissingChunks missing_chunks(const std::vector<Index>& want, const std::vector<Index>& have) {
   std::unordered_set<Digest> known;
   for (const Index& index : have)
     for (const Chunk& c : index.chunks) known.insert(c.content);
-  Lacking out;
+  MissingChunks out;
   std::unordered_set<Digest> seen;
   for (const Index& index : want)
     for (const Chunk& c : index.chunks) {
--- a/src/layers/layout.h
+++ b/src/layers/layout.h
@@ -21,7 +21,7 @@
 };
 // Packs the files, a layer each, into a new or empty directory. A reason if it fails.
 std::string write_layout(const std::string& directory, const std::string& function, std::uint64_t release,
-                         const std::vector<LayerFile>& files, const CutOptions& options, int level);
+                         const std::vector<LayerFile>& files, const ChunkerOptions& options, int level);
 // Manifest and indexes, whose digests are checked. Nothing, with the reason, if it is no layout of ours.
 std::optional<Layout> read_layout(const std::string& directory, std::string& why);
 // Unpacks every chunk of every layer against all digests. A reason for the first that does not fit.
@@ -30,10 +30,10 @@
 std::optional<std::string> read_file(const std::string& path);
 
 // What a box that holds `have` still fetches for `want`.
-struct Lacking {
+struct MissingChunks {
   std::uint64_t chunks = 0, bytes = 0;          // to be fetched, as stored
   std::uint64_t all_chunks = 0, all_bytes = 0;  // of `want`
 };
-Lacking lacking(const std::vector<Index>& want, const std::vector<Index>& have);
+MissingChunks missing_chunks(const std::vector<Index>& want, const std::vector<Index>& have);
 
 }  // namespace laureltide::layers
--- a/src/layers/memory_disk.cpp
+++ b/src/layers/memory_disk.cpp
@@ -65,7 +65,7 @@
     std::erase(files_.order, key);
     files_.order.push_back(key);
     step("chunk-indexed");
-    done(DiskEnd::kWell, "");
+    done(DiskEnd::kOk, "");
   });
 }
 
@@ -73,7 +73,7 @@
   later([this, key, content, done = std::move(done)] {
     const auto it = files_.files.find(key);
     const bool well = it != files_.files.end() && digest_of(it->second) == content;
-    done(well ? DiskEnd::kWell : DiskEnd::kCorrupt, well ? "" : "the file is not what its digest says");
+    done(well ? DiskEnd::kOk : DiskEnd::kCorrupt, well ? "" : "the file is not what its digest says");
   });
 }
 
--- a/src/layers/remote.cpp
+++ b/src/layers/remote.cpp
@@ -48,10 +48,10 @@
   return std::chrono::seconds(std::min(seconds, 3600U));
 }
 
-OciRemote::OciRemote(io::Host& host, OciOptions options)
+RegistryClient::RegistryClient(io::Host& host, RegistryClientOptions options)
     : host_(host), options_(std::move(options)), dead_(host) {}
 
-std::uint64_t OciRemote::fetch(const RemoteRequest& request, Done done) {
+std::uint64_t RegistryClient::fetch(const RemoteRequest& request, Done done) {
   const std::uint64_t ticket = next_++;
   auto& slot = out_[ticket];
   slot = std::make_unique<Out>();
@@ -62,7 +62,7 @@
   return ticket;
 }
 
-void OciRemote::call_off(std::uint64_t ticket) {
+void RegistryClient::call_off(std::uint64_t ticket) {
   const auto it = out_.find(ticket);
   if (it == out_.end()) return;
   it->second->exchange.reset();  // hung up on at once: nothing more is sent for it
@@ -70,7 +70,7 @@
   out_.erase(it);
 }
 
-void OciRemote::ask(std::uint64_t ticket, Out& out, const io::Address& at, const std::string& target) {
+void RegistryClient::ask(std::uint64_t ticket, Out& out, const io::Address& at, const std::string& target) {
   http::Request request;
   request.method = "GET";
   request.target = target;
@@ -93,7 +93,7 @@
       [this, ticket, at](http::Exchange::Result result) { answered(ticket, at, std::move(result)); });
 }
 
-void OciRemote::answered(std::uint64_t ticket, const io::Address& at, http::Exchange::Result result) {
+void RegistryClient::answered(std::uint64_t ticket, const io::Address& at, http::Exchange::Result result) {
   const auto it = out_.find(ticket);
   if (it == out_.end()) return;
   Out& out = *it->second;
@@ -120,25 +120,25 @@
   if (status == 0) {
     said.why = result.why;
   } else if (status == 200 && !out.request.ranged) {
-    said.end = FetchEnd::kWell;
+    said.end = FetchOutcome::kOk;
   } else if (status == 206 && out.request.ranged) {
     const bool fits =
         range_fits(result.headers.find("Content-Range"), out.request.offset, out.request.size) &&
         result.body.size() == out.request.size;
-    said.end = fits ? FetchEnd::kWell : FetchEnd::kBroken;
+    said.end = fits ? FetchOutcome::kOk : FetchOutcome::kBroken;
     if (!fits) said.why = "another range than was asked for";
   } else if (status == 200) {
     said.why = "the store ignores Range";
   } else if (status == 429 || status == 503) {
-    said.end = FetchEnd::kBusy, said.why = with_status;
+    said.end = FetchOutcome::kBusy, said.why = with_status;
   } else if (status == 404 || status == 410) {
-    said.end = FetchEnd::kMissing, said.why = with_status;
+    said.end = FetchOutcome::kMissing, said.why = with_status;
   } else if (status >= 400 && status < 500) {
-    said.end = FetchEnd::kRefused, said.why = with_status;
+    said.end = FetchOutcome::kRefused, said.why = with_status;
   } else {
     said.why = with_status;
   }
-  if (said.end == FetchEnd::kWell) said.bytes = std::move(result.body);
+  if (said.end == FetchOutcome::kOk) said.bytes = std::move(result.body);
   const Done done = std::move(out.done);
   dead_.bury(std::move(it->second));
   out_.erase(it);
--- a/src/layers/remote.h
+++ b/src/layers/remote.h
@@ -21,7 +21,7 @@
   std::uint32_t replica = 0;
 };
 struct RemoteResult {
-  FetchEnd end = FetchEnd::kBroken;
+  FetchOutcome end = FetchOutcome::kBroken;
   std::string bytes, why;
   Duration retry_after{};
 };
@@ -35,16 +35,16 @@
   virtual void call_off(std::uint64_t ticket) = 0;
 };
 
-struct OciOptions {
+struct RegistryClientOptions {
   std::vector<io::Address> replicas;
   std::string name = "laureltide-layers";      // User-Agent
   Duration within = std::chrono::seconds(10);  // a whole answer, and so much more for each `pace` bytes of it
   std::size_t pace = 256U << 10;               // bytes a second, the slowest that is borne
 };
 
-class OciRemote : public Remote {
+class RegistryClient : public Remote {
  public:
-  OciRemote(io::Host& host, OciOptions options);
+  RegistryClient(io::Host& host, RegistryClientOptions options);
   std::uint64_t fetch(const RemoteRequest& request, Done done) override;
   void call_off(std::uint64_t ticket) override;
 
@@ -59,7 +59,7 @@
   void answered(std::uint64_t ticket, const io::Address& at, http::Exchange::Result result);
 
   io::Host& host_;
-  OciOptions options_;
+  RegistryClientOptions options_;
   std::map<std::uint64_t, std::unique_ptr<Out>> out_;
   io::Graveyard<Out> dead_;
   std::uint64_t next_ = 1;
--- a/src/layers/scheduler.cpp
+++ b/src/layers/scheduler.cpp
@@ -247,7 +247,7 @@
     return best;
   }
 
-  Start start(Time now, Store& s, std::uint64_t id, Item& item, bool hedge) {
+  ScheduledAttempt start(Time now, Store& s, std::uint64_t id, Item& item, bool hedge) {
     const std::uint32_t replica = choose_replica(s, item, now);
     ++s.replicas[replica].running;
     ++s.running;
@@ -263,7 +263,7 @@
     return {id, a.number, replica, hedge};
   }
 
-  std::optional<Start> start_from(Time now, Store& s, std::size_t level) {
+  std::optional<ScheduledAttempt> start_from(Time now, Store& s, std::size_t level) {
     Lane& l = s.lanes[level];
     while (!l.turns.empty()) {
       const std::uint32_t tenant = l.turns.first();
@@ -285,7 +285,7 @@
     return std::nullopt;
   }
 
-  std::optional<Start> start_aged(Time now, Store& s) {
+  std::optional<ScheduledAttempt> start_aged(Time now, Store& s) {
     std::optional<std::pair<Time, std::uint64_t>> oldest;
     for (std::size_t level = 1; level < kLevels; ++level) {
       Lane& l = s.lanes[level];
@@ -303,7 +303,7 @@
   Duration hedge_wait(const Store& s) const {
     return std::max(options.hedge_after, from_seconds(3 * s.usual_s));
   }
-  std::optional<Start> start_hedge(Time now, Store& s) {
+  std::optional<ScheduledAttempt> start_hedge(Time now, Store& s) {
     if (s.replicas.size() < 2 || s.hedgeable.empty() || static_cast<std::size_t>(s.window) <= s.running)
       return std::nullopt;
     while (!s.hedgeable.empty()) {
@@ -323,7 +323,7 @@
     return std::nullopt;
   }
 
-  std::optional<Start> next_of(Time now, Store& s) {
+  std::optional<ScheduledAttempt> next_of(Time now, Store& s) {
     while (!s.pauses.empty() && s.pauses.begin()->first <= now) {
       const std::uint64_t id = s.pauses.begin()->second;
       s.pauses.erase(s.pauses.begin());
@@ -357,7 +357,7 @@
     if (s.recent_s > options.slow_at * s.usual_s)
       cut(s, now, kSlowCut);
     else if (s.full)
-      s.window = std::min(options.most_window, s.window + 1 / s.window);
+      s.window = std::min(options.max_window, s.window + 1 / s.window);
     s.repeats.earn(options.repeats_per_success);
     s.hedges.earn(options.hedges_per_success);
   }
@@ -442,14 +442,14 @@
   return numbers;
 }
 
-std::optional<Start> Scheduler::next(Time now) {
+std::optional<ScheduledAttempt> Scheduler::next(Time now) {
   for (auto& [number, store] : impl_->stores)
     if (auto start = impl_->next_of(now, store)) return start;
   return std::nullopt;
 }
 
-Verdict Scheduler::ended(Time now, std::uint64_t id, std::uint32_t attempt, FetchEnd end,
-                         Duration retry_after) {
+Verdict Scheduler::on_attempt_ended(Time now, std::uint64_t id, std::uint32_t attempt, FetchOutcome end,
+                                    Duration retry_after) {
   const auto it = impl_->items.find(id);
   if (it == impl_->items.end()) return {};
   Impl::Item& item = it->second;
@@ -459,7 +459,7 @@
   Impl::Store& s = impl_->store(item.fetch.store);
   const Impl::Attempt was = *at;
   impl_->end_attempt(item, static_cast<std::size_t>(at - item.out.begin()));
-  if (end == FetchEnd::kWell) {
+  if (end == FetchOutcome::kOk) {
     impl_->served(s, now, now - was.since);
     Verdict done{Verdict::Kind::kDone, "", impl_->end_all(item)};
     impl_->items.erase(it);
@@ -468,31 +468,31 @@
   const char* why = "";
   bool again = true;
   switch (end) {
-    case FetchEnd::kBusy:
+    case FetchOutcome::kBusy:
       why = "the store turned it away";
       impl_->cut(s, now, kCut);
       if (retry_after > Duration(0)) impl_->rest(s, now, retry_after);
       break;
-    case FetchEnd::kBroken:
+    case FetchOutcome::kBroken:
       why = "the store's answer broke off or did not come";
       impl_->cut(s, now, kCut);
       break;
-    case FetchEnd::kCorrupt:
+    case FetchOutcome::kCorrupt:
       why = "the store sent other bytes than the digest names";
       s.replicas[was.replica].bad_until = now + kBadReplica;
       break;
-    case FetchEnd::kMissing:
+    case FetchOutcome::kMissing:
       why = "the store does not have it";
       again = s.replicas.size() > 1;  // another replica may
       break;
-    case FetchEnd::kRefused:
+    case FetchOutcome::kRefused:
       why = "the store refuses it";
       again = false;
       break;
-    case FetchEnd::kWell: break;
+    case FetchOutcome::kOk: break;
   }
   item.bad_replica = was.replica;
-  const bool busy = end == FetchEnd::kBusy;
+  const bool busy = end == FetchOutcome::kBusy;
   if (!was.hedge) busy ? ++item.turned_away : ++item.tried;
   if (!item.out.empty()) return {Verdict::Kind::kAgain, why, {}};
   const SchedulerOptions& o = impl_->options;
--- a/src/layers/scheduler.h
+++ b/src/layers/scheduler.h
@@ -37,7 +37,7 @@
 
 struct SchedulerOptions {
   // Of one store, all replicas together.
-  double first_window = 4, least_window = 1, most_window = 64;
+  double first_window = 4, least_window = 1, max_window = 64;
   double slow_at = 3;  // times the usual time of a fetch: from there on the window does not grow, but shrinks
   Duration cut_every = std::chrono::milliseconds(500);  // one jam is one cut, however many fetches met it
   Duration longest_rest = std::chrono::seconds(30);     // whatever a store asks for
@@ -64,7 +64,7 @@
   std::uint32_t bytes = 0;
 };
 
-struct Start {
+struct ScheduledAttempt {
   std::uint64_t id = 0;
   std::uint32_t attempt = 0;  // unique within the fetch, hedges included
   std::uint32_t replica = 0;
@@ -72,8 +72,8 @@
 };
 
 // What became of an attempt.
-enum class FetchEnd : std::uint8_t {
-  kWell,
+enum class FetchOutcome : std::uint8_t {
+  kOk,
   kBusy,     // 429, 503: the store asks for less
   kBroken,   // no connection, reset, cut short, endless, 5xx
   kCorrupt,  // whole, but not what its digest says
@@ -118,9 +118,10 @@
   std::vector<std::uint32_t> drop(Time now, std::uint64_t id);
 
   // The next fetch that may run now, counted as running from then on.
-  std::optional<Start> next(Time now);
+  std::optional<ScheduledAttempt> next(Time now);
   // `retry_after`: as the store said, 0 if it did not.
-  Verdict ended(Time now, std::uint64_t id, std::uint32_t attempt, FetchEnd end, Duration retry_after);
+  Verdict on_attempt_ended(Time now, std::uint64_t id, std::uint32_t attempt, FetchOutcome end,
+                           Duration retry_after);
   // When to ask next() again if nothing else happens; nothing while nothing waits.
   std::optional<Time> wake(Time now) const;
 
--- a/src/standin/day.cpp
+++ b/src/standin/day.cpp
@@ -571,8 +571,8 @@
   for (const DayClass& c : day.classes)
     for (int i = 0; i < c.functions; ++i) {
       const std::string name = day.function(c, i), repository = "functions/" + name;
-      const layers::Packed packed =
-          layers::pack_layer(content_of(day, name, changes), layers::CutOptions{64U << 10}, 1);
+      const layers::PackedLayer packed =
+          layers::pack_layer(content_of(day, name, changes), layers::ChunkerOptions{64U << 10}, 1);
       layers::Manifest m;
       m.function = name, m.release = release;
       layers::LayerRef layer;
--- a/src/standin/worker.cpp
+++ b/src/standin/worker.cpp
@@ -39,7 +39,7 @@
   if (options_.agent) {
     agent_ = std::make_shared<layers::AgentClient>(host_, *options_.agent, options_.name,
                                                    std::to_string(started) + "-" + std::to_string(life_));
-    agent_->follow([this](const std::vector<layers::ReleaseNews>& all) { on_releases(all); });
+    agent_->watch_releases([this](const std::vector<layers::ReleaseStatus>& all) { on_releases(all); });
   }
   listener_ =
       host_.listen(at, stream, [this, started](std::unique_ptr<io::Connection> c) -> io::ConnectionEvents* {
@@ -420,8 +420,8 @@
 
 // A newer version is whole on the box: it is loaded beside the old one, which serves until it stands. What
 // runs goes on with what it began with.
-void Worker::on_releases(const std::vector<layers::ReleaseNews>& all) {
-  for (const layers::ReleaseNews& r : all) {
+void Worker::on_releases(const std::vector<layers::ReleaseStatus>& all) {
+  for (const layers::ReleaseStatus& r : all) {
     const auto it = pools_.find(r.function);
     if (!r.whole || it == pools_.end() || !it->second.version || it->second.renewing ||
         it->second.version->release >= r.release)
--- a/src/standin/worker.h
+++ b/src/standin/worker.h
@@ -120,7 +120,7 @@
   void on_hold(worker::Session& session, const worker::Hold& hold);
   void fetch(const std::string& name, std::function<void(bool well)> done);
   std::shared_ptr<const Version> read(const layers::Snapshot& snapshot, std::string& why);
-  void on_releases(const std::vector<layers::ReleaseNews>& all);
+  void on_releases(const std::vector<layers::ReleaseStatus>& all);
   bool begin_load(const std::string& name, Pool& pool);
   void next_load();
   void loaded(const std::string& name, bool well);
--- a/tests/check/judge_test.cpp
+++ b/tests/check/judge_test.cpp
@@ -181,7 +181,7 @@
 // Answers that may come again must be the same ones, by their own ids.
 TEST(Judge, AnswersThatMayRepeatMustBeTheSame) {
   Rules lenient = rules();
-  lenient.answers_may_repeat = true;
+  lenient.allow_repeated_answers = true;
   auto told = [](const char* id, const char* outcome) {
     return json{{"call", "a"}, {"outcome", outcome}, {"id", id}, {"bytes", 3}};
   };
--- a/tests/check/layers_test.cpp
+++ b/tests/check/layers_test.cpp
@@ -41,19 +41,19 @@
 }
 
 TEST_F(Layers, BytesSentTwiceToABox) {
-  EXPECT_EQ(with({sent("box-1", "b1 0-10"), sent("box-1", "b1 0-10")}).once.size(), 1U);
-  EXPECT_EQ(with({sent("box-1", "b1 0-10"), sent("box-1", "b1 9-20")}).once.size(), 1U);
-  EXPECT_EQ(with({sent("box-1", "b1 10-20"), sent("box-1", "b1 0-11")}).once.size(), 1U);
-  EXPECT_EQ(with({sent("box-1", "b1 10-12"), sent("box-1", "b1 0-20")}).once.size(), 1U);
+  EXPECT_EQ(with({sent("box-1", "b1 0-10"), sent("box-1", "b1 0-10")}).duplicate_sends.size(), 1U);
+  EXPECT_EQ(with({sent("box-1", "b1 0-10"), sent("box-1", "b1 9-20")}).duplicate_sends.size(), 1U);
+  EXPECT_EQ(with({sent("box-1", "b1 10-20"), sent("box-1", "b1 0-11")}).duplicate_sends.size(), 1U);
+  EXPECT_EQ(with({sent("box-1", "b1 10-12"), sent("box-1", "b1 0-20")}).duplicate_sends.size(), 1U);
 }
 
 TEST_F(Layers, ARunOnAnythingElse) {
-  EXPECT_EQ(with({ran("f", "v3", "l1")}).mixed.size(), 1U);  // never released
-  EXPECT_EQ(with({ran("f", "v1", "l2")}).mixed.size(), 1U);  // the bytes of another
-  EXPECT_EQ(with({ran("f", "w1", "m1")}).mixed.size(), 1U);  // another function's
+  EXPECT_EQ(with({ran("f", "v3", "l1")}).wrong_versions.size(), 1U);  // never released
+  EXPECT_EQ(with({ran("f", "v1", "l2")}).wrong_versions.size(), 1U);  // the bytes of another
+  EXPECT_EQ(with({ran("f", "w1", "m1")}).wrong_versions.size(), 1U);  // another function's
   json none = ran("f", "v1", "l1");
   none.erase("version");
-  EXPECT_EQ(with({none}).mixed.size(), 1U);
+  EXPECT_EQ(with({none}).wrong_versions.size(), 1U);
 }
 
 }  // namespace
--- a/tests/layers/agent_test.cpp
+++ b/tests/layers/agent_test.cpp
@@ -33,7 +33,7 @@
   MemoryFiles files;
   AgentOptions options;
   std::unique_ptr<MemoryDisk> disk;
-  std::unique_ptr<OciRemote> remote;
+  std::unique_ptr<RegistryClient> remote;
   std::unique_ptr<Agent> agent;
   std::vector<std::string> said;
   std::uint64_t release = 0;
@@ -51,12 +51,12 @@
   }
   void start(const char* name = "box-1") {
     disk = std::make_unique<MemoryDisk>(net, files);
-    OciOptions o;
+    RegistryClientOptions o;
     o.replicas.push_back({"10.0.0.1", 5000});
     for (std::uint32_t r = 1; r < options.replicas; ++r)
       o.replicas.push_back({"10.0.0.1", static_cast<std::uint16_t>(5000 + r)});
     o.name = name, o.within = 2s;
-    remote = std::make_unique<OciRemote>(net, o);
+    remote = std::make_unique<RegistryClient>(net, o);
     agent = std::make_unique<Agent>(net, *disk, *remote, options,
                                     [this](bool, const std::string& line) { said.push_back(line); });
   }
@@ -64,12 +64,12 @@
 
   struct Published {
     Digest version;
-    Packed packed;
+    PackedLayer packed;
   };
   Published publish(const std::string& function, const std::string& bytes, Registry* into = nullptr) {
     Registry& r = into ? *into : store;
     Published p;
-    p.packed = pack_layer(bytes, CutOptions{16U << 10});
+    p.packed = pack_layer(bytes, ChunkerOptions{16U << 10});
     const std::string repository = "functions/" + function;
     r.put_blob(repository, p.packed.blob), r.put_blob(repository, p.packed.index_bytes);
     Manifest m;
@@ -158,7 +158,7 @@
   ASSERT_TRUE(server.listen({"10.0.0.2", 7800}));
   std::vector<std::unique_ptr<AgentClient>> clients;
   int pinned = 0;
-  std::vector<ReleaseNews> news;
+  std::vector<ReleaseStatus> news;
   for (int i = 0; i < 8; ++i) {
     clients.push_back(
         std::make_unique<AgentClient>(net, io::Address{"10.0.0.2", 7800}, "w" + std::to_string(i), "1"));
@@ -169,7 +169,7 @@
                           ++pinned;
                         });
   }
-  clients[0]->follow([&](const std::vector<ReleaseNews>& all) { news = all; });
+  clients[0]->watch_releases([&](const std::vector<ReleaseStatus>& all) { news = all; });
   ASSERT_TRUE(net.run_until([&] { return pinned == 8; }));
   ASSERT_TRUE(net.run_until([&] { return news.size() == 1 && news[0].whole; }));
   net.run_for(60s);
@@ -447,7 +447,7 @@
 
 TEST_F(Box, WhatNobodyWaitsForAnyMoreIsCalledOff) {
   const auto p = publish("decoder", noise(8 * kSize, 3));
-  options.look_every = 1h;
+  options.tag_poll_interval = 1h;
   start();
   const auto asked = ask("decoder", Level::kCall, "w1", p.version);
   ASSERT_TRUE(net.run_until([&] { return agent->shelf().chunks() > 3; }));
@@ -524,7 +524,7 @@
   EXPECT_EQ(got->snapshot->version, first.version);
   expect_whole(*got->snapshot);
   ASSERT_TRUE(net.run_until([&] {
-    for (const ReleaseNews& r : agent->releases())
+    for (const ReleaseStatus& r : agent->releases())
       if (r.version == second.version && r.whole) return true;
     return false;
   }));
@@ -602,7 +602,7 @@
   struct One {
     MemoryFiles files;
     std::unique_ptr<MemoryDisk> disk;
-    std::unique_ptr<OciRemote> remote;
+    std::unique_ptr<RegistryClient> remote;
     std::unique_ptr<Agent> agent;
     bool well = false;
   };
@@ -616,10 +616,10 @@
   for (int i = 0; i < 20; ++i) {
     auto one = std::make_unique<One>();
     one->disk = std::make_unique<MemoryDisk>(net, one->files);
-    OciOptions o;
+    RegistryClientOptions o;
     o.replicas.push_back({"10.0.0.1", 5050});
     o.name = "box-" + std::to_string(i);
-    one->remote = std::make_unique<OciRemote>(net, o);
+    one->remote = std::make_unique<RegistryClient>(net, o);
     one->agent =
         std::make_unique<Agent>(net, *one->disk, *one->remote, options, [](bool, const std::string&) {});
     one->agent->ask(
--- a/tests/layers/files_test.cpp
+++ b/tests/layers/files_test.cpp
@@ -26,7 +26,7 @@
 
 struct Files : testing::Test {
   std::string dir;
-  Packed packed = pack_layer(noise(300'000, 1), CutOptions{16U << 10});
+  PackedLayer packed = pack_layer(noise(300'000, 1), ChunkerOptions{16U << 10});
   Files() {
     std::string pattern = (fs::temp_directory_path() / "laureltide-layers-XXXXXX").string();
     dir = mkdtemp(pattern.data());
@@ -39,7 +39,7 @@
     std::size_t left = packed.index.chunks.size();
     for (const Chunk& c : packed.index.chunks)
       disk.write(key_of("", c.content), c, frame(c), [&, c](DiskEnd end, const std::string& why) {
-        EXPECT_EQ(end, DiskEnd::kWell) << why;
+        EXPECT_EQ(end, DiskEnd::kOk) << why;
         at(c);
         if (--left == 0) loop.stop();
       });
@@ -89,7 +89,7 @@
   std::ofstream(opened.disk->path(key), std::ios::binary) << bytes;
   opened.disk->prove(key, c.content, note);
   loop.run();
-  EXPECT_EQ(ends, (std::vector<DiskEnd>{DiskEnd::kWell, DiskEnd::kCorrupt}));
+  EXPECT_EQ(ends, (std::vector<DiskEnd>{DiskEnd::kOk, DiskEnd::kCorrupt}));
 }
 
 TEST_F(Files, AFileOfAnotherSizeIsDropped) {
@@ -163,12 +163,12 @@
 TEST_F(Files, ALayoutComesBackAndDamageIsSaid) {
   std::ofstream(dir + "/model", std::ios::binary) << noise(200'000, 5);
   const std::string to = dir + "/layout";
-  ASSERT_EQ(write_layout(to, "decoder", 3, {{"model", dir + "/model"}}, CutOptions{16U << 10}, 3), "");
+  ASSERT_EQ(write_layout(to, "decoder", 3, {{"model", dir + "/model"}}, ChunkerOptions{16U << 10}, 3), "");
   std::string why;
   const auto layout = read_layout(to, why);
   ASSERT_TRUE(layout) << why;
   EXPECT_EQ(verify_layout(*layout), "");
-  EXPECT_NE(write_layout(to, "decoder", 4, {{"model", dir + "/model"}}, CutOptions{}, 3),
+  EXPECT_NE(write_layout(to, "decoder", 4, {{"model", dir + "/model"}}, ChunkerOptions{}, 3),
             "");  // not over another
   const std::string blob = blob_path(to, layout->manifest.layers[0].blob);
   std::string bytes = *read_file(blob);
--- a/tests/layers/format_test.cpp
+++ b/tests/layers/format_test.cpp
@@ -31,7 +31,7 @@
 }
 
 TEST(Chunks, AddUpAndStayInTheirBounds) {
-  const CutOptions o{8U << 10};
+  const ChunkerOptions o{8U << 10};
   for (const std::size_t size : {0UL, 1UL, 2048UL, 8192UL, 1000003UL}) {
     std::size_t sum = 0;
     const auto sizes = cut(noise(size, 3), o);
@@ -54,7 +54,7 @@
 TEST(Chunks, AnInsertionMovesOnlyTheCutsBesideIt) {
   const std::string before = noise(1U << 20, 7);
   const std::string after = noise(100, 8) + before;
-  const CutOptions o{8U << 10};
+  const ChunkerOptions o{8U << 10};
   auto shared = [&](auto how) {
     std::set<Digest> known;
     std::size_t at = 0, bytes = 0;
@@ -73,7 +73,7 @@
 
 TEST(Layers, ComeBackAsTheyWerePacked) {
   const std::string plain = noise(300000, 11);
-  const Packed packed = pack_layer(plain, CutOptions{16U << 10});
+  const PackedLayer packed = pack_layer(plain, ChunkerOptions{16U << 10});
   std::string why;
   const auto index = parse_index(packed.index_bytes, why);
   ASSERT_TRUE(index) << why;
@@ -89,7 +89,7 @@
 }
 
 TEST(Layers, AChunkThatIsNotItsDigestIsNotUnpacked) {
-  const Packed packed = pack_layer(noise(50000, 13), CutOptions{16U << 10});
+  const PackedLayer packed = pack_layer(noise(50000, 13), ChunkerOptions{16U << 10});
   const Chunk c = packed.index.chunks[0];
   const std::string frame = packed.blob.substr(0, c.stored_size);
   std::string why;
@@ -155,7 +155,7 @@
 }
 
 TEST(Indexes, SayWhatIsWrong) {
-  Index index = pack_layer(noise(40000, 17), CutOptions{16U << 10}).index;
+  Index index = pack_layer(noise(40000, 17), ChunkerOptions{16U << 10}).index;
   std::string why;
   auto parse = [&](Index i) { return parse_index(write_index(i), why); };
   ASSERT_TRUE(parse(index)) << why;
--- a/tests/layers/scheduler_test.cpp
+++ b/tests/layers/scheduler_test.cpp
@@ -27,13 +27,13 @@
     EXPECT_TRUE(scheduler().add(now, f));
     return f.id;
   }
-  std::vector<Start> start_all() {
-    std::vector<Start> all;
+  std::vector<ScheduledAttempt> start_all() {
+    std::vector<ScheduledAttempt> all;
     while (const auto s = scheduler().next(now)) all.push_back(*s);
     return all;
   }
-  Verdict end(const Start& s, FetchEnd how = FetchEnd::kWell, Duration retry = {}) {
-    return scheduler().ended(now, s.id, s.attempt, how, retry);
+  Verdict end(const ScheduledAttempt& s, FetchOutcome how = FetchOutcome::kOk, Duration retry = {}) {
+    return scheduler().on_attempt_ended(now, s.id, s.attempt, how, retry);
   }
 };
 
@@ -50,7 +50,7 @@
 }
 
 TEST_F(Fetches, AReleaseLeavesRoomForCalls) {
-  options.first_window = 8, options.most_window = 8;
+  options.first_window = 8, options.max_window = 8;
   for (int i = 0; i < 100; ++i) add(Level::kRenewal);
   EXPECT_EQ(start_all().size(), 4U);  // half of the window
   add(Level::kCall);
@@ -58,7 +58,7 @@
 }
 
 TEST_F(Fetches, WhatHasWaitedLongIsNotStarvedByCalls) {
-  options.first_window = 1, options.most_window = 1;
+  options.first_window = 1, options.max_window = 1;
   const auto old = add(Level::kPrefetch);
   now += 6s;
   int started = 0;
@@ -74,7 +74,7 @@
 }
 
 TEST_F(Fetches, FunctionsOfATenantShareByBytes) {
-  options.first_window = 1, options.most_window = 1;
+  options.first_window = 1, options.max_window = 1;
   for (int i = 0; i < 60; ++i) add(Level::kCall, 1, 0, 3000);
   for (int i = 0; i < 60; ++i) add(Level::kCall, 2, 0, 1000);
   int first = 0, second = 0;
@@ -88,7 +88,7 @@
 }
 
 TEST_F(Fetches, TenantsShareByWeightWhateverTheyAskFor) {
-  options.first_window = 1, options.most_window = 1;
+  options.first_window = 1, options.max_window = 1;
   scheduler().set_weight(7, 3);
   for (int i = 0; i < 400; ++i)
     add(Level::kRenewal, static_cast<std::uint64_t>(i), 6);  // a flood of functions
@@ -114,23 +114,23 @@
 
 TEST_F(Fetches, TheWindowGrowsWhileTheStoreIsWellAndIsCutWhenItTurnsAway) {
   options.first_window = 4;
-  std::deque<Start> out;
+  std::deque<ScheduledAttempt> out;
   for (int i = 0; i < 400; ++i) add(Level::kCall);
   for (int i = 0; i < 10; ++i) {
-    for (const Start& s : start_all()) out.push_back(s);
+    for (const ScheduledAttempt& s : start_all()) out.push_back(s);
     now += 10ms;
-    for (const Start& s : std::exchange(out, {})) end(s);
+    for (const ScheduledAttempt& s : std::exchange(out, {})) end(s);
   }
-  for (const Start& s : start_all()) out.push_back(s);
+  for (const ScheduledAttempt& s : start_all()) out.push_back(s);
   const double grown = scheduler().state(now, 0).window;
   EXPECT_GT(grown, 8);
-  end(out.front(), FetchEnd::kBusy), out.pop_front();
+  end(out.front(), FetchOutcome::kBusy), out.pop_front();
   const double cut = scheduler().state(now, 0).window;
   EXPECT_NEAR(cut, grown / 2, 0.1);
-  end(out.front(), FetchEnd::kBusy), out.pop_front();
+  end(out.front(), FetchOutcome::kBusy), out.pop_front();
   EXPECT_EQ(scheduler().state(now, 0).window, cut);  // one jam, one cut
   now += 1s;
-  end(out.front(), FetchEnd::kBusy);
+  end(out.front(), FetchOutcome::kBusy);
   EXPECT_LT(scheduler().state(now, 0).window, cut);
 }
 
@@ -141,7 +141,7 @@
     for (int i = 0; i < rounds; ++i) {
       const auto all = start_all();
       now += took;
-      for (const Start& s : all) end(s);
+      for (const ScheduledAttempt& s : all) end(s);
     }
   };
   run(10ms, 40);
@@ -154,14 +154,14 @@
   const auto id = add(Level::kCall);
   auto s = scheduler().next(now);
   add(Level::kCall);
-  EXPECT_EQ(end(*s, FetchEnd::kBusy, 5s).kind, Verdict::Kind::kAgain);
+  EXPECT_EQ(end(*s, FetchOutcome::kBusy, 5s).kind, Verdict::Kind::kAgain);
   now += 4s;
   EXPECT_FALSE(scheduler().next(now));
   ASSERT_TRUE(scheduler().wake(now));
   EXPECT_GE(*scheduler().wake(now), now + 1s);
   now += 5s;
   EXPECT_TRUE(scheduler().next(now));
-  end({id, 1, 0, false}, FetchEnd::kBusy, 24h);
+  end({id, 1, 0, false}, FetchOutcome::kBusy, 24h);
   now += 2 * options.longest_rest;
   EXPECT_FALSE(start_all().empty());
 }
@@ -174,7 +174,7 @@
     const auto s = scheduler().next(now);
     ASSERT_TRUE(s);
     ++tried;
-    const Verdict v = end(*s, FetchEnd::kBroken);
+    const Verdict v = end(*s, FetchOutcome::kBroken);
     if (v.kind == Verdict::Kind::kGaveUp) {
       EXPECT_NE(v.why.find("6 attempts"), std::string::npos) << v.why;
       break;
@@ -193,12 +193,12 @@
 }
 
 TEST_F(Fetches, TheBudgetOfRepeatsHoldsForAllTogether) {
-  options.first_window = options.most_window = 64, options.most_attempts = 1000;
+  options.first_window = options.max_window = 64, options.most_attempts = 1000;
   for (int i = 0; i < 64; ++i) add(Level::kCall);
   int attempts = 0;
   const Time until = now + 60s;
   while (now < until) {
-    for (const Start& s : start_all()) ++attempts, end(s, FetchEnd::kBroken);
+    for (const ScheduledAttempt& s : start_all()) ++attempts, end(s, FetchOutcome::kBroken);
     now += 10ms;
   }
   // 64 first attempts, what the budget held, and one a second.
@@ -208,23 +208,23 @@
 
 TEST_F(Fetches, WhatTheStoreDoesNotHaveIsNotAskedForAgain) {
   add(Level::kCall);
-  EXPECT_EQ(end(*scheduler().next(now), FetchEnd::kMissing).kind, Verdict::Kind::kGaveUp);
+  EXPECT_EQ(end(*scheduler().next(now), FetchOutcome::kMissing).kind, Verdict::Kind::kGaveUp);
   add(Level::kCall);
-  EXPECT_EQ(end(*scheduler().next(now), FetchEnd::kRefused).kind, Verdict::Kind::kGaveUp);
+  EXPECT_EQ(end(*scheduler().next(now), FetchOutcome::kRefused).kind, Verdict::Kind::kGaveUp);
 }
 
 TEST_F(Fetches, ACorruptReplicaIsLeftAlone) {
   scheduler().set_replicas(0, 2);
   add(Level::kCall);
-  const Start first = *scheduler().next(now);
-  EXPECT_EQ(end(first, FetchEnd::kCorrupt).kind, Verdict::Kind::kAgain);
+  const ScheduledAttempt first = *scheduler().next(now);
+  EXPECT_EQ(end(first, FetchOutcome::kCorrupt).kind, Verdict::Kind::kAgain);
   now = *scheduler().wake(now);
-  const Start second = *scheduler().next(now);
+  const ScheduledAttempt second = *scheduler().next(now);
   EXPECT_NE(second.replica, first.replica);
   end(second);
   for (int i = 0; i < 10; ++i) {  // and for all others, for a while
     add(Level::kCall);
-    const Start s = *scheduler().next(now);
+    const ScheduledAttempt s = *scheduler().next(now);
     EXPECT_NE(s.replica, first.replica);
     end(s);
   }
@@ -240,10 +240,10 @@
   now += 1s;
   const auto hedges = start_all();
   EXPECT_EQ(hedges.size(), 4U);  // the whole budget
-  for (const Start& h : hedges) {
+  for (const ScheduledAttempt& h : hedges) {
     EXPECT_TRUE(h.hedge);
     EXPECT_NE(h.id, renewal);
-    for (const Start& o : out)
+    for (const ScheduledAttempt& o : out)
       if (o.id == h.id) {
         EXPECT_NE(o.replica, h.replica);
       }
@@ -258,10 +258,10 @@
   scheduler().set_replicas(0, 2);
   for (int i = 0; i < 10; ++i) {
     add(Level::kCall);
-    const Start first = *scheduler().next(now);
-    end(first, FetchEnd::kBroken);
+    const ScheduledAttempt first = *scheduler().next(now);
+    end(first, FetchOutcome::kBroken);
     now = *scheduler().wake(now);
-    const Start second = *scheduler().next(now);
+    const ScheduledAttempt second = *scheduler().next(now);
     EXPECT_NE(second.replica, first.replica);
     end(second);
   }
@@ -289,7 +289,8 @@
   EXPECT_TRUE(scheduler().drop(now, waiting).empty());
   EXPECT_EQ(scheduler().drop(now, running), std::vector<std::uint32_t>{0});
   EXPECT_EQ(scheduler().next(now)->id, later);  // its place is free
-  EXPECT_EQ(scheduler().ended(now, running, 0, FetchEnd::kWell, {}).kind, Verdict::Kind::kNobody);
+  EXPECT_EQ(scheduler().on_attempt_ended(now, running, 0, FetchOutcome::kOk, {}).kind,
+            Verdict::Kind::kNobody);
 }
 
 TEST_F(Fetches, RaisedGoesAheadAtOnce) {
@@ -301,12 +302,12 @@
 }
 
 TEST_F(Fetches, BytesASecondOfALevelHold) {
-  options.first_window = options.most_window = 64, options.share[2] = 1;
+  options.first_window = options.max_window = 64, options.share[2] = 1;
   options.bytes_per_s[2] = 10'000;
   for (int i = 0; i < 200; ++i) add(Level::kRenewal, 1, 0, 1000);
   int started = 0;
   for (int i = 0; i < 100; ++i) {
-    for (const Start& s : start_all()) ++started, end(s);
+    for (const ScheduledAttempt& s : start_all()) ++started, end(s);
     now += 100ms;
   }
   EXPECT_NEAR(started, 100 + 10, 6);  // ten a second, and a second's worth ahead
@@ -324,7 +325,7 @@
 TEST(FetchHistories, EveryFetchEndsAndNoBoundIsPassed) {
   EXPECT_TRUE(rc::check("histories", [] {
     SchedulerOptions o;
-    o.most_window = 6, o.tenant_at_once = 3;
+    o.max_window = 6, o.tenant_at_once = 3;
     Scheduler s(o, *rc::gen::arbitrary<std::uint64_t>());
     s.set_replicas(0, static_cast<std::uint32_t>(*rc::gen::inRange(1, 3)));
     Time now{1h};
@@ -351,12 +352,12 @@
         for (const auto& [t, n] : of) RC_ASSERT(n <= 3 + 1);  // a hedge may go over
       }
     };
-    auto end_one = [&](FetchEnd how) {
+    auto end_one = [&](FetchOutcome how) {
       for (auto& [id, attempts] : out) {
         if (attempts.empty()) continue;
         const std::uint32_t a = *attempts.begin();
         attempts.erase(a);
-        return settle(id, s.ended(now, id, a, how, std::chrono::seconds(*rc::gen::inRange(0, 3))));
+        return settle(id, s.on_attempt_ended(now, id, a, how, std::chrono::seconds(*rc::gen::inRange(0, 3))));
       }
     };
     for (int i = 0; i < 80; ++i) {
@@ -371,7 +372,7 @@
           open.insert(f.id);
           break;
         }
-        case 1: end_one(static_cast<FetchEnd>(*rc::gen::inRange(0, 6))); break;
+        case 1: end_one(static_cast<FetchOutcome>(*rc::gen::inRange(0, 6))); break;
         case 2:
           if (!open.empty()) s.raise(now, *open.begin(), static_cast<Level>(*rc::gen::inRange(0, 4)));
           break;
@@ -387,7 +388,7 @@
       start();
     }
     for (int i = 0; i < 10000 && !open.empty(); ++i) {
-      end_one(FetchEnd::kWell);
+      end_one(FetchOutcome::kOk);
       if (const auto wake = s.wake(now)) now = std::max(now, *wake);
       start();
     }
