--- a/src/apps/play.cpp
+++ b/src/apps/play.cpp
@@ -132,7 +132,7 @@
       : day_(std::move(day)),
         day_file_(std::move(day_file)),
         dir_(std::move(dir)),
-        here_(lt::apps::own_directory()),
+        here_(lt::apps::executable_directory()),
         random_(day_.seed),
         tape_(dir_ + "/caller.tape") {}
 
@@ -168,7 +168,7 @@
     command.insert(command.end(), words.begin(), words.end());
     command.insert(command.end(), {"--day", day_file_});
     if (words[0] != "store") command.insert(command.end(), {"--tape", dir_ + "/" + name + ".tape"});
-    standins_.push_back(std::make_unique<lt::apps::Child>(command, dir_ + "/" + name + ".log"));
+    standins_.push_back(std::make_unique<lt::apps::ChildProcess>(command, dir_ + "/" + name + ".log"));
     std::string line;
     if (!standins_.back()->read_line(line, 20s))
       throw std::runtime_error(name + " did not start; see " + dir_);
@@ -188,7 +188,7 @@
       for (std::uint32_t box = 0; box < day_.boxes; ++box) {
         agents.push_back(reserve());
         const std::string name = "box-" + std::to_string(box + 1);
-        standins_.push_back(std::make_unique<lt::apps::Child>(
+        standins_.push_back(std::make_unique<lt::apps::ChildProcess>(
             std::vector<std::string>{here_ + "/laureltide-layers", "--directory", dir_ + "/" + name, "--name",
                                      name, "--store", "127.0.0.1:" + std::to_string(registry), "--port",
                                      std::to_string(agents.back()), "--look-s", "0.3"},
@@ -250,14 +250,14 @@
       if (open_.erase(call) > 0) ++outcomes_[a.outcome];
     };
   }
-  std::unique_ptr<lt::apps::Child> gateway(std::uint32_t n) {
+  std::unique_ptr<lt::apps::ChildProcess> gateway(std::uint32_t n) {
     const std::string name = dir_ + "/gw-" + std::to_string(n);
     std::vector<std::string> command{
         here_ + "/laureltide", "serve",  "--config",
         name + ".toml",        "--seed", std::to_string(day_.seed * 100 + n + 1)};
     if (n == 0 && deaths_ < day_.die_at.size())
       command.insert(command.end(), {"--die-at", day_.die_at[deaths_]});
-    return std::make_unique<lt::apps::Child>(command, name + ".log");
+    return std::make_unique<lt::apps::ChildProcess>(command, name + ".log");
   }
   // A gateway that killed itself comes back, to die at the next step.
   void look_at_deaths() {
@@ -403,9 +403,9 @@
   std::mt19937_64 random_;
   lt::net::Loop loop_;
   lt::apps::FileTape tape_;
-  std::vector<lt::apps::PortReserve> ports_;
-  std::vector<std::unique_ptr<lt::apps::Child>> standins_, gateways_;
-  std::set<lt::apps::Child*> agents_;  // of the boxes: programs of ours, which play no part
+  std::vector<lt::apps::ReservedPort> ports_;
+  std::vector<std::unique_ptr<lt::apps::ChildProcess>> standins_, gateways_;
+  std::set<lt::apps::ChildProcess*> agents_;  // of the boxes: programs of ours, which play no part
   std::unique_ptr<lt::standin::Caller> caller_;
   std::unique_ptr<lt::standin::Invoker> invoker_;
   std::vector<std::uint16_t> invoke_;
@@ -482,7 +482,7 @@
   auto day = lt::standin::load_day(file, problems);
   for (const std::string& p : problems) std::cerr << p << '\n';
   if (!day) return 2;
-  std::string dir = keep.empty() ? lt::apps::fresh_directory("laureltide-play-") : keep;
+  std::string dir = keep.empty() ? lt::apps::create_temp_directory("laureltide-play-") : keep;
   std::filesystem::create_directories(dir);
   try {
     std::string played = std::filesystem::absolute(file).string();
--- a/src/apps/standin.cpp
+++ b/src/apps/standin.cpp
@@ -171,8 +171,8 @@
   sigaddset(&signals, SIGTERM);
   sigprocmask(SIG_BLOCK, &signals, nullptr);
 
-  const std::string here = lt::apps::own_directory(), self = here + "/laureltide-standin";
-  const std::string dir = lt::apps::fresh_directory("laureltide-stack-");
+  const std::string here = lt::apps::executable_directory(), self = here + "/laureltide-standin";
+  const std::string dir = lt::apps::create_temp_directory("laureltide-stack-");
   struct Cleaner {
     std::string dir;
     ~Cleaner() {
@@ -180,9 +180,9 @@
       std::filesystem::remove_all(dir, error);
     }
   } cleaner{dir};
-  std::vector<std::unique_ptr<lt::apps::Child>> children;
+  std::vector<std::unique_ptr<lt::apps::ChildProcess>> children;
   auto start = [&](std::vector<std::string> command, const std::string& name) -> std::uint16_t {
-    children.push_back(std::make_unique<lt::apps::Child>(command, dir + "/" + name + ".log"));
+    children.push_back(std::make_unique<lt::apps::ChildProcess>(command, dir + "/" + name + ".log"));
     std::string line;
     if (!children.back()->read_line(line, 20s) || !line.starts_with("listening ")) {
       std::ifstream log(dir + "/" + name + ".log");
@@ -212,9 +212,9 @@
       << "[[broker]]\nname = \"main\"\naddress = \"127.0.0.1:" << broker << "\"\nqueues = [\"" << c.queue
       << "\"]\nprefetch = 2000\n";
   const std::string log = dir + "/gateway.log";
-  children.push_back(std::make_unique<lt::apps::Child>(
+  children.push_back(std::make_unique<lt::apps::ChildProcess>(
       std::vector<std::string>{here + "/laureltide", "serve", "--config", dir + "/gateway.toml"}, log));
-  lt::apps::Child& gateway = *children.back();
+  lt::apps::ChildProcess& gateway = *children.back();
   // Ready once the gateway consumes; it says so in its log.
   auto consuming = [&] {
     std::ifstream in(log);
--- a/src/apps/tools.cpp
+++ b/src/apps/tools.cpp
@@ -40,7 +40,7 @@
   return tape;
 }
 
-PortReserve::PortReserve() : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+ReservedPort::ReservedPort() : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
   // Bound but not listening: the child's own bind, with the same option, may share it.
   const int on = 1;
   setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -53,13 +53,13 @@
     throw std::runtime_error("no free port on 127.0.0.1");
   port_ = ntohs(at.sin_port);
 }
-PortReserve::~PortReserve() {
+ReservedPort::~ReservedPort() {
   if (fd_ >= 0) close(fd_);
 }
-PortReserve::PortReserve(PortReserve&& other) noexcept
+ReservedPort::ReservedPort(ReservedPort&& other) noexcept
     : fd_(std::exchange(other.fd_, -1)), port_(other.port_) {}
 
-Child::Child(const std::vector<std::string>& command, const std::string& log) {
+ChildProcess::ChildProcess(const std::vector<std::string>& command, const std::string& log) {
   int pipes[2];
   if (pipe2(pipes, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
   std::vector<char*> argv;
@@ -87,7 +87,7 @@
   out_ = pipes[0];
 }
 
-Child::~Child() {
+ChildProcess::~ChildProcess() {
   if (running()) {
     kill(pid_, SIGKILL);
     waitpid(pid_, &status_, 0);
@@ -95,7 +95,7 @@
   close(out_);
 }
 
-bool Child::read_line(std::string& line, Duration most) {
+bool ChildProcess::read_line(std::string& line, Duration most) {
   const auto until = std::chrono::steady_clock::now() + most;
   while (true) {
     if (const std::size_t end = buffer_.find('\n'); end != std::string::npos) {
@@ -114,27 +114,29 @@
   }
 }
 
-void Child::signal(int number) {
+void ChildProcess::signal(int number) {
   if (running()) kill(pid_, number);
 }
 
-bool Child::running() {
+bool ChildProcess::running() {
   if (ended_ || pid_ < 0) return false;
   int status = 0;
   if (waitpid(pid_, &status, WNOHANG) == pid_) ended_ = true, status_ = status;
   return !ended_;
 }
 
-int Child::wait(Duration most) {
+int ChildProcess::wait(Duration most) {
   const auto until = std::chrono::steady_clock::now() + most;
   while (running() && std::chrono::steady_clock::now() < until) usleep(5000);
   if (!ended_) return -1;
   return WIFEXITED(status_) ? WEXITSTATUS(status_) : 128 + WTERMSIG(status_);
 }
 
-std::string own_directory() { return std::filesystem::read_symlink("/proc/self/exe").parent_path().string(); }
+std::string executable_directory() {
+  return std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
+}
 
-std::string fresh_directory(const std::string& prefix) {
+std::string create_temp_directory(const std::string& prefix) {
   std::string pattern = (std::filesystem::temp_directory_path() / (prefix + "XXXXXX")).string();
   if (!mkdtemp(pattern.data())) throw std::runtime_error("no directory " + pattern);
   return pattern;
--- a/src/apps/tools.h
+++ b/src/apps/tools.h
@@ -26,11 +26,11 @@
 std::vector<nlohmann::json> read_tape(const std::string& path);
 
 // A port of 127.0.0.1 that no other program is given while this object lives; a child may listen on it.
-class PortReserve {
+class ReservedPort {
  public:
-  PortReserve();
-  ~PortReserve();
-  PortReserve(PortReserve&& other) noexcept;
+  ReservedPort();
+  ~ReservedPort();
+  ReservedPort(ReservedPort&& other) noexcept;
   std::uint16_t port() const { return port_; }
 
  private:
@@ -39,11 +39,11 @@
 };
 
 // A child process that dies with this one. Its standard output comes here a line at a time.
-class Child {
+class ChildProcess {
  public:
-  Child(const std::vector<std::string>& command, const std::string& log);
-  ~Child();  // kills it, if it still runs, and waits
-  Child(const Child&) = delete;
+  ChildProcess(const std::vector<std::string>& command, const std::string& log);
+  ~ChildProcess();  // kills it, if it still runs, and waits
+  ChildProcess(const ChildProcess&) = delete;
   // Reads a line of its output; false if it ended, or said nothing for so long.
   bool read_line(std::string& line, Duration most);
   void signal(int number);
@@ -60,7 +60,7 @@
   int status_ = -1;
 };
 
-std::string own_directory();  // of this program's file
-std::string fresh_directory(const std::string& prefix);
+std::string executable_directory();  // of this program's file
+std::string create_temp_directory(const std::string& prefix);
 
 }  // namespace laureltide::apps
--- a/tests/apps/call_run_twice_test.cpp
+++ b/tests/apps/call_run_twice_test.cpp
@@ -26,7 +26,7 @@
 // Nodes, workers and clients; counts what became of each call.
 class CallRunTwice : public testing::Test {
  protected:
-  std::string dir = fresh_directory("laureltide-twice-test-");
+  std::string dir = create_temp_directory("laureltide-twice-test-");
   net::Loop loop;
   PlatformBus bus{loop, {"127.0.0.1", 0}};
   std::vector<std::unique_ptr<PlatformInvoker>> workers;
--- a/tests/apps/discovery_outage_test.cpp
+++ b/tests/apps/discovery_outage_test.cpp
@@ -49,7 +49,7 @@
 
 class DiscoveryOutage : public testing::TestWithParam<OutageCase> {
  protected:
-  std::string dir = fresh_directory("laureltide-outage-test-");
+  std::string dir = create_temp_directory("laureltide-outage-test-");
   net::Loop loop;
   PlatformBus bus{loop, {"127.0.0.1", 0}};
   std::vector<std::unique_ptr<PlatformInvoker>> workers;
--- a/tests/apps/node_process.h
+++ b/tests/apps/node_process.h
@@ -24,7 +24,7 @@
     doc_["known"] = nlohmann::json::parse(known);
     std::ofstream(dir_ + "/config.json") << doc_.dump();
     setenv("ROUTER_CONFIG", (dir_ + "/config.json").c_str(), 1);
-    child_ = std::make_unique<Child>(
+    child_ = std::make_unique<ChildProcess>(
         std::vector<std::string>{std::string(LAURELTIDE_BIN) + "/laureltide", "node"}, dir_ + "/log");
   }
   void signal(int number) { child_->signal(number); }
@@ -36,10 +36,10 @@
   }
 
  private:
-  PortReserve port_;
+  ReservedPort port_;
   std::string dir_;
   nlohmann::json doc_;
-  std::unique_ptr<Child> child_;
+  std::unique_ptr<ChildProcess> child_;
 };
 
 }  // namespace laureltide::apps
--- a/tests/apps/node_program_test.cpp
+++ b/tests/apps/node_program_test.cpp
@@ -26,14 +26,14 @@
 const std::string kBin = LAURELTIDE_BIN;
 
 struct NodeProgram : testing::Test {
-  std::string dir = fresh_directory("laureltide-node-test-");
+  std::string dir = create_temp_directory("laureltide-node-test-");
   net::Loop loop;
   PlatformBus bus{loop, {"127.0.0.1", 0}};
   PlatformInvoker invoker{loop, {{"127.0.0.1", 0}, 200ms, 20ms, 64, {}}};
-  PortReserve port;
+  ReservedPort port;
   io::Address at{"127.0.0.1", port.port()};
   json doc = node::tests::config();
-  std::unique_ptr<Child> child;
+  std::unique_ptr<ChildProcess> child;
   std::uint64_t ids = 0x1000;
 
   NodeProgram() {
@@ -52,7 +52,8 @@
   }
   void write() { std::ofstream(dir + "/config.json") << doc.dump(); }
   void start() {
-    child = std::make_unique<Child>(std::vector<std::string>{kBin + "/laureltide", "node"}, dir + "/log");
+    child =
+        std::make_unique<ChildProcess>(std::vector<std::string>{kBin + "/laureltide", "node"}, dir + "/log");
   }
   std::string log() const {
     std::ifstream in(dir + "/log");
--- a/tests/apps/programs_test.cpp
+++ b/tests/apps/programs_test.cpp
@@ -22,7 +22,7 @@
 }
 
 struct Programs : testing::Test {
-  std::string dir = fresh_directory("laureltide-test-");
+  std::string dir = create_temp_directory("laureltide-test-");
   ~Programs() override {
     std::error_code error;
     std::filesystem::remove_all(dir, error);
@@ -30,13 +30,13 @@
   std::string log() const { return slurp(dir + "/log"); }
   int run(std::vector<std::string> words, Duration most = 120s) {
     words[0] = kBin + "/" + words[0];
-    Child child(words, dir + "/log");
+    ChildProcess child(words, dir + "/log");
     return child.wait(most);
   }
   // All that a program says on its standard output.
   std::string said(std::vector<std::string> words) {
     words[0] = kBin + "/" + words[0];
-    Child child(words, dir + "/log");
+    ChildProcess child(words, dir + "/log");
     std::string all;
     for (std::string line; child.read_line(line, 30s);) all += line + '\n';
     return all;
@@ -77,10 +77,10 @@
   std::string text = slurp(kExamples + "/gateway.toml");
   text.replace(text.find("examples/workers.json"), 21,
                write("workers.json", slurp(kExamples + "/workers.json")));
-  const PortReserve nobody;  // no broker listens there
+  const ReservedPort nobody;  // no broker listens there
   text.replace(text.find("127.0.0.1:5672"), 14, "127.0.0.1:" + std::to_string(nobody.port()));
   const std::string file = write("g.toml", text);
-  Child gateway({kBin + "/laureltide", "serve", "--config", file}, dir + "/log");
+  ChildProcess gateway({kBin + "/laureltide", "serve", "--config", file}, dir + "/log");
   ASSERT_TRUE(logged("serving as depot-gateway"));
   write("g.toml", "[gateway\n");
   gateway.signal(SIGHUP);
@@ -96,7 +96,7 @@
 }
 
 TEST_F(Programs, StackSaysReadyAndLeavesNothingBehind) {
-  Child stack({kBin + "/laureltide-standin", "stack", "--workers", "2"}, dir + "/log");
+  ChildProcess stack({kBin + "/laureltide-standin", "stack", "--workers", "2"}, dir + "/log");
   std::string line;
   ASSERT_TRUE(stack.read_line(line, 60s)) << log();
   EXPECT_TRUE(line.starts_with("ready ")) << line;
@@ -167,7 +167,7 @@
   EXPECT_EQ(run({"laureltide", "layers", "pack", dir + "/two", dir + "/model", "--function", "Bad Name",
                  "--release", "2"}),
             2);
-  Child store({kBin + "/laureltide-standin", "registry"}, dir + "/registry.log");
+  ChildProcess store({kBin + "/laureltide-standin", "registry"}, dir + "/registry.log");
   std::string line;
   ASSERT_TRUE(store.read_line(line, 20s));
   const std::string at = "127.0.0.1:" + line.substr(10);
@@ -188,11 +188,11 @@
   std::string text = slurp(kExamples + "/gateway.toml");
   text.replace(text.find("examples/workers.json"), 21,
                write("workers.json", slurp(kExamples + "/workers.json")));
-  const PortReserve nobody;
+  const ReservedPort nobody;
   text.replace(text.find("127.0.0.1:5672"), 14, "127.0.0.1:" + std::to_string(nobody.port()));
   const std::string file = write("g.toml", text + "\n[ledger]\ndirectory = \"" + dir + "/l\"\n");
   {
-    Child gateway({kBin + "/laureltide", "serve", "--config", file}, dir + "/log");
+    ChildProcess gateway({kBin + "/laureltide", "serve", "--config", file}, dir + "/log");
     ASSERT_TRUE(logged("ledger: 0 records read"));
     EXPECT_EQ(run({"laureltide", "serve", "--config", file}), 1);
     EXPECT_NE(log().find("in use by another process"), std::string::npos) << log();
@@ -206,7 +206,7 @@
 }
 
 TEST_F(Programs, KeysAreDrawnAndHashed) {
-  Child child({kBin + "/laureltide", "key"}, dir + "/log");
+  ChildProcess child({kBin + "/laureltide", "key"}, dir + "/log");
   std::string token, hash;
   ASSERT_TRUE(child.read_line(token, 30s) && child.read_line(hash, 30s));
   EXPECT_EQ(token.substr(0, 10), "token  lt_");
