--- a/fuzz/config.cpp
+++ b/fuzz/config.cpp
@@ -5,7 +5,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace laureltide;
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  const config::Checked checked = config::parse(bytes, "f");
+  const config::SettingsResult checked = config::parse(bytes, "f");
   if (checked.settings.has_value() == !checked.problems.empty()) __builtin_trap();
   std::string why;
   if (const auto update = members::parse_update(bytes, why)) {
--- a/fuzz/frames.cpp
+++ b/fuzz/frames.cpp
@@ -31,7 +31,7 @@
     void on_piece(WorkerId, std::uint64_t, std::string) override {}
     void on_hold_end(WorkerId, std::uint64_t, Outcome, int) override {}
     void on_probe_end(WorkerId, std::uint64_t, Outcome, LoadReport) override {}
-    void on_oddity(WorkerId, const std::string&) override {}
+    void on_anomaly(WorkerId, const std::string&) override {}
   } ends;
   platform::ConnectionBudget budget;
   platform::LinkOptions link_options;
--- a/fuzz/front.cpp
+++ b/fuzz/front.cpp
@@ -7,7 +7,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
   const front::Parsed parsed = front::parse(bytes);
-  if (parsed.kind == front::Parsed::Kind::kRequest && parsed.request.body.size() > front::kMostBody)
+  if (parsed.kind == front::Parsed::Kind::kRequest && parsed.request.body.size() > front::kMaxBodyBytes)
     __builtin_trap();
   sim::NetworkOptions options;
   options.max_segment_bytes = 7;
@@ -21,7 +21,7 @@
     }
     void on_gone(front::Server::Ticket) override {}
     bool healthy() override { return true; }
-    void on_oddity(const std::string&) override {}
+    void on_anomaly(const std::string&) override {}
   } echo;
   front::Server server(net, {}, echo);
   echo.server = &server;
@@ -36,6 +36,6 @@
   peer.out = bytes;
   peer.c = net.connect({"127.0.0.1", 80}, {}, peer);
   net.run_for(std::chrono::seconds(1));
-  if (server.owed() != 0) __builtin_trap();
+  if (server.open_calls() != 0) __builtin_trap();
   return 0;
 }
--- a/fuzz/worker.cpp
+++ b/fuzz/worker.cpp
@@ -11,7 +11,7 @@
   void on_piece(WorkerId, std::uint64_t, std::string) override {}
   void on_hold_end(WorkerId, std::uint64_t, Outcome, int) override {}
   void on_probe_end(WorkerId, std::uint64_t, Outcome, LoadReport) override {}
-  void on_oddity(WorkerId, const std::string&) override {}
+  void on_anomaly(WorkerId, const std::string&) override {}
   void on_hello(worker::Session&, const worker::Hello&) override {}
   void on_message(worker::Session&, worker::Message) override {}
   void on_end(worker::Session&) override {}
--- a/src/apps/laureltide.cpp
+++ b/src/apps/laureltide.cpp
@@ -80,7 +80,7 @@
 lt::store::LmdbOptions lmdb_options(const lt::config::Ledger& ledger) {
   using Sync = lt::store::LmdbOptions::Sync;
   lt::store::LmdbOptions o;
-  o.directory = ledger.directory, o.most_mb = ledger.most_mb, o.gather = ledger.gather;
+  o.directory = ledger.directory, o.most_mb = ledger.max_size_mb, o.gather = ledger.group_commit_window;
   o.check = lt::ledger::check_entry;
   o.sync = ledger.sync == lt::config::LedgerSync::kEach   ? Sync::kEach
            : ledger.sync == lt::config::LedgerSync::kNone ? Sync::kNone
@@ -177,8 +177,8 @@
     if (!opened.store) throw std::runtime_error(opened.why);
     store_ = std::move(opened.store);
     lt::ledger::BookOptions options;
-    options.most_records = settings_->ledger.most_records;
-    options.most_bytes = settings_->ledger.most_mb << 20;
+    options.most_records = settings_->ledger.max_records;
+    options.most_bytes = settings_->ledger.max_size_mb << 20;
     options.keep = settings_->ledger.keep;
     book_ = std::make_unique<lt::ledger::Book>(loop_, *store_, options);
     if (const auto why = book_->load())
@@ -202,9 +202,9 @@
     });
   }
   void reload() {
-    const lt::config::Checked checked = lt::config::load(file_);
+    const lt::config::SettingsResult checked = lt::config::load(file_);
     for (const auto& problem : checked.problems)
-      on_log_line(lt::controller::LogLevel::kError, "reload: " + problem.show());
+      on_log_line(lt::controller::LogLevel::kError, "reload: " + problem.to_string());
     if (!checked.settings)
       return on_log_line(lt::controller::LogLevel::kError, "reload: the old settings stand");
     spdlog::set_level(level_of(checked.settings->log_level));
@@ -237,8 +237,8 @@
 constexpr int kBadSettings = 2;
 
 std::optional<lt::config::Settings> load_or_tell(const std::string& file) {
-  lt::config::Checked checked = lt::config::load(file);
-  for (const auto& problem : checked.problems) std::cerr << problem.show() << '\n';
+  lt::config::SettingsResult checked = lt::config::load(file);
+  for (const auto& problem : checked.problems) std::cerr << problem.to_string() << '\n';
   return std::move(checked.settings);
 }
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -191,9 +191,9 @@
   if (out.module.replica_index >= out.module.replicas)
     s.wrong("number", "must be under replicas: numbers start at 0");
   g.loopback_only = !s.flag("allow_other_networks", false);
-  g.most_body = s.whole<std::uint64_t>("most_body_bytes", g.most_body, 1, 64 << 20);
+  g.max_body_bytes = s.whole<std::uint64_t>("most_body_bytes", g.max_body_bytes, 1, 64 << 20);
   g.answer_reserve = s.ms("answer_reserve_ms", g.answer_reserve);
-  g.drain_within = s.ms("drain_within_ms", g.drain_within, 1);
+  g.drain_timeout = s.ms("drain_within_ms", g.drain_timeout, 1);
   g.peer_listen = s.address("peer_listen");
 }
 
@@ -242,12 +242,12 @@
 void read_ledger(Section& s, Settings& out) {
   Ledger& l = out.ledger;
   l.directory = s.text("directory", "", 4096);
-  l.most_mb = s.whole<std::size_t>("most_mb", l.most_mb, 1, 1 << 20);
-  l.most_records = s.whole<std::size_t>("most_records", l.most_records, 1, 100'000'000);
+  l.max_size_mb = s.whole<std::size_t>("most_mb", l.max_size_mb, 1, 1 << 20);
+  l.max_records = s.whole<std::size_t>("most_records", l.max_records, 1, 100'000'000);
   constexpr double kWeek = 7 * 24 * 3600;
   l.keep = std::chrono::seconds(
       static_cast<std::int64_t>(s.number("keep_s", std::chrono::duration<double>(l.keep).count(), 1, kWeek)));
-  l.gather = s.ms("gather_ms", l.gather);
+  l.group_commit_window = s.ms("gather_ms", l.group_commit_window);
   l.sync =
       s.choice("sync", l.sync,
                {{"group", LedgerSync::kGroup}, {"each", LedgerSync::kEach}, {"none", LedgerSync::kNone}});
@@ -259,8 +259,8 @@
   i.listen = s.address("listen");
   i.keep = std::chrono::seconds(static_cast<std::int64_t>(
       s.number("keep_s", std::chrono::duration<double>(i.keep).count(), 1, 7 * 24 * 3600)));
-  i.most_deferred = s.whole<std::size_t>("most_deferred", i.most_deferred, 1, 10'000'000);
-  i.most_deferred_mb = s.whole<std::size_t>("most_deferred_mb", i.most_deferred_mb, 1, 1 << 20);
+  i.max_deferred = s.whole<std::size_t>("most_deferred", i.max_deferred, 1, 10'000'000);
+  i.max_deferred_mb = s.whole<std::size_t>("most_deferred_mb", i.max_deferred_mb, 1, 1 << 20);
   for (const std::string& text : s.texts("callbacks")) {
     const auto address = io::parse_address(text);
     if (address) i.callbacks.push_back(*address);
@@ -268,9 +268,9 @@
       s.wrong("callbacks", "expected numeric addresses and ports, such as \"127.0.0.1:9000\", found " + text);
   }
   i.callback_attempts = s.whole("callback_attempts", i.callback_attempts, 1, 20);
-  i.most_connections = s.whole<std::size_t>("most_connections", i.most_connections, 1, 100'000);
-  i.head_within = s.ms("head_within_ms", i.head_within, 1);
-  i.body_within = s.ms("body_within_ms", i.body_within, 1);
+  i.max_connections = s.whole<std::size_t>("most_connections", i.max_connections, 1, 100'000);
+  i.header_timeout = s.ms("head_within_ms", i.header_timeout, 1);
+  i.body_timeout = s.ms("body_within_ms", i.body_timeout, 1);
 }
 
 void read_key(Section& s, Settings& out) {
@@ -329,7 +329,7 @@
         s.choice("format", LogFormat::kText, {{"text", LogFormat::kText}, {"json", LogFormat::kJson}});
     out.log_level = s.choice<std::string>(
         "level", "info", {{"debug", "debug"}, {"info", "info"}, {"warn", "warn"}, {"error", "error"}});
-    out.stats_every = s.ms("stats_every_ms", out.stats_every);
+    out.stats_interval = s.ms("stats_every_ms", out.stats_interval);
   });
   root.section("bounds", [&](Section& s) {
     m.bounds.attempts_cap = s.whole("attempts", 6, 1, 200);
@@ -434,7 +434,7 @@
   return std::nullopt;
 }
 
-std::string Problem::show() const {
+std::string Problem::to_string() const {
   std::string where = file;
   if (line > 0) where += ":" + std::to_string(line);
   return where + ": " + (key.empty() ? "" : key + ": ") + text;
@@ -450,8 +450,8 @@
   return static_cast<std::uint32_t>(it - tenant_names.begin());
 }
 
-Checked parse(std::string_view text, const std::string& file) {
-  Checked checked;
+SettingsResult parse(std::string_view text, const std::string& file) {
+  SettingsResult checked;
   if (const auto problem = unquoted_beyond_ascii(text, file)) {
     checked.problems.push_back(*problem);
     return checked;
@@ -477,7 +477,7 @@
   return checked;
 }
 
-Checked load(const std::string& file) {
+SettingsResult load(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   if (!in) return {std::nullopt, {{file, 0, "", "cannot be read"}}};
   std::ostringstream text;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -58,9 +58,9 @@
 
 struct Ledger {
   std::string directory;  // empty: no ledger
-  std::size_t most_mb = 4096, most_records = 1'000'000;
+  std::size_t max_size_mb = 4096, max_records = 1'000'000;
   Duration keep = std::chrono::hours(24);
-  Duration gather = std::chrono::milliseconds(1);
+  Duration group_commit_window = std::chrono::milliseconds(1);
   LedgerSync sync = LedgerSync::kGroup;
   bool all_calls = false;  // also those that are safe to repeat
   bool operator==(const Ledger&) const = default;
@@ -77,11 +77,11 @@
 struct Invoke {
   std::optional<io::Address> listen;                        // absent: no invoke API
   Duration keep = std::chrono::hours(1);                    // answers of deferred and named calls
-  std::size_t most_deferred = 1000, most_deferred_mb = 64;  // of a tenant, open and answered
+  std::size_t max_deferred = 1000, max_deferred_mb = 64;  // of a tenant, open and answered
   std::vector<io::Address> callbacks;                       // where answers may be posted; none: nowhere
   int callback_attempts = 5;
-  std::size_t most_connections = 1024;
-  Duration head_within = std::chrono::seconds(10), body_within = std::chrono::seconds(30);
+  std::size_t max_connections = 1024;
+  Duration header_timeout = std::chrono::seconds(10), body_timeout = std::chrono::seconds(30);
 };
 
 struct Key {
@@ -92,9 +92,9 @@
 struct Gateway {
   std::string name = "laureltide";
   bool loopback_only = true;
-  std::uint64_t most_body = 8U << 20;
+  std::uint64_t max_body_bytes = 8U << 20;
   Duration answer_reserve = std::chrono::milliseconds(20);  // kept of a client's patience for the way back
-  Duration drain_within = std::chrono::seconds(30);         // after SIGTERM
+  Duration drain_timeout = std::chrono::seconds(30);         // after SIGTERM
   std::optional<io::Address> peer_listen;
 };
 
@@ -112,7 +112,7 @@
   Gateway gateway;
   LogFormat log_format = LogFormat::kText;
   std::string log_level = "info";
-  Duration stats_every = std::chrono::seconds(10);
+  Duration stats_interval = std::chrono::seconds(10);
 
   const Function* find(const std::string& name) const {
     const auto it = function_index.find(name);
@@ -126,15 +126,15 @@
   std::uint32_t line = 0;  // 0: of the file as a whole
   std::string key;
   std::string text;
-  std::string show() const;
+  std::string to_string() const;
 };
 
-struct Checked {
+struct SettingsResult {
   std::optional<Settings> settings;  // absent if there is any problem
   std::vector<Problem> problems;     // all of them, in the order of the file
 };
-Checked parse(std::string_view toml, const std::string& file);
-Checked load(const std::string& file);
+SettingsResult parse(std::string_view toml, const std::string& file);
+SettingsResult load(const std::string& file);
 
 // The keys that a running gateway takes over at SIGHUP; a change of any other is told, and needs a restart.
 std::vector<std::string> needs_restart(const Settings& from, const Settings& to);
--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -275,7 +275,7 @@
     if (end.outcome == Outcome::kNotRun || !ready || stale || !may_be_sent) return end_attempt(word, end);
     attempt.waits = false;
   }
-  worker::Port* to = link(attempt.worker);
+  worker::WorkerLink* to = link(attempt.worker);
   if (!to) {
     CallEnd end;
     end.outcome = Outcome::kConnectFailed;
@@ -305,10 +305,10 @@
     behind_.push_back([this, word = cookie(it->first, attempt), end](Time) { end_attempt(word, end); });
     return;
   }
-  if (worker::Port* to = link(a.worker)) to->cancel(cookie(it->first, attempt));
+  if (worker::WorkerLink* to = link(a.worker)) to->cancel(cookie(it->first, attempt));
 }
 
-void Core::on_call_left(WorkerId, std::uint64_t word, std::uint64_t connection) {
+void Core::on_call_sent(WorkerId, std::uint64_t word, std::uint64_t connection) {
   const auto it = open_.find(static_cast<std::uint32_t>(word >> 8));
   const std::size_t number = word & 0xff;
   if (it == open_.end() || number >= it->second->attempts.size()) return;
@@ -359,7 +359,7 @@
     Answer answer;
     answer.kind = Answer::Kind::kServed;
     answer.body = stream || !open.pieces.empty() ? std::move(open.pieces) + end.body : std::move(end.body);
-    if (answer.body.size() > settings_->gateway.most_body)
+    if (answer.body.size() > settings_->gateway.max_body_bytes)
       answer = {Answer::Kind::kFailed, "the result is longer than the gateway passes on", {}, {}, {}};
     finish(open, std::move(answer));
   } else if (stream && !open.answered) {  // bound to this attempt: nothing else can serve it
@@ -387,7 +387,7 @@
   const auto number = static_cast<AttemptNumber>(word & 0xff);
   if (open.streaming && open.streaming != number) return;
   // A result over the bound is failed at its end; what is over is not kept.
-  if (open.pieces.size() <= settings_->gateway.most_body) open.pieces += body;
+  if (open.pieces.size() <= settings_->gateway.max_body_bytes) open.pieces += body;
   const bool streamed = settings_->module.classes[open.call.function->request_class].streamed;
   if (!streamed || open.streaming) return;
   open.streaming = number;
@@ -419,7 +419,7 @@
   orders_[word] = {worker, function, host_.now(), false, instances};
   ++counters_.holds;
   const std::string* name = name_of(function);
-  worker::Port* to = name ? link(worker) : nullptr;
+  worker::WorkerLink* to = name ? link(worker) : nullptr;
   if (!to) {
     behind_.push_back([this, worker, word](Time) { on_hold_end(worker, word, Outcome::kConnectFailed, 0); });
     return;
@@ -440,7 +440,7 @@
 
 void Core::release(WorkerId worker, FunctionId function) {
   const std::string* name = name_of(function);
-  worker::Port* to = name ? link(worker) : nullptr;
+  worker::WorkerLink* to = name ? link(worker) : nullptr;
   if (to) to->release(*name);
 }
 
@@ -448,7 +448,7 @@
   const std::uint64_t word = next_order_++;
   orders_[word] = {worker, {}, host_.now(), true, 0};
   ++counters_.probes;
-  worker::Port* to = link(worker);
+  worker::WorkerLink* to = link(worker);
   if (!to) {
     behind_.push_back(
         [this, worker, word](Time) { on_probe_end(worker, word, Outcome::kConnectFailed, {}); });
@@ -468,18 +468,18 @@
 
 // ---- Workers ------------------------------------------------------------------------------------------
 
-worker::Port* Core::link(WorkerId worker) {
+worker::WorkerLink* Core::link(WorkerId worker) {
   const members::Member* member = list_.find(worker);
   const auto it = links_.find(worker);
   if (!member || member->address.port == 0) return it == links_.end() ? nullptr : it->second.get();
   if (it != links_.end() && it->second->address() == member->address) return it->second.get();
   if (it != links_.end() && !it->second->idle()) return it->second.get();  // until what is out has ended
-  std::unique_ptr<worker::Port> fresh;
+  std::unique_ptr<worker::WorkerLink> fresh;
   if (options_.port)
     fresh = options_.port(worker, member->address, *this);
   else
     fresh = own_protocol(worker, member->address);
-  worker::Port* made = fresh.get();
+  worker::WorkerLink* made = fresh.get();
   if (it != links_.end())
     dead_links_.bury(std::exchange(it->second, std::move(fresh)));
   else
@@ -487,13 +487,13 @@
   return made;
 }
 
-std::unique_ptr<worker::Port> Core::own_protocol(WorkerId worker, const io::Address& address) {
+std::unique_ptr<worker::WorkerLink> Core::own_protocol(WorkerId worker, const io::Address& address) {
   worker::LinkOptions options;
   options.controller = settings_->module.replica_index;
   options.controller_name = settings_->gateway.name;
   options.started_unix_ms = started_unix_ms_;
   options.dial_timeout = settings_->module.bounds.dial_timeout;
-  options.max_frame = static_cast<std::uint32_t>(settings_->gateway.most_body + (64U << 10));
+  options.max_frame = static_cast<std::uint32_t>(settings_->gateway.max_body_bytes + (64U << 10));
   return std::make_unique<worker::Link>(host_, worker, address, options, *this);
 }
 
@@ -540,9 +540,9 @@
   feed([this, at](Time now) { module_->on(now, ListFreshness{at}); });
 }
 
-void Core::on_oddity(WorkerId worker, const std::string& what) {
+void Core::on_anomaly(WorkerId worker, const std::string& what) {
   ++counters_.oddities;
-  events_.on_oddity("worker " + std::to_string(static_cast<std::uint32_t>(worker)) + ": " + what);
+  events_.on_anomaly("worker " + std::to_string(static_cast<std::uint32_t>(worker)) + ": " + what);
 }
 
 const std::string* Core::name_of(FunctionId function) const {
@@ -663,7 +663,7 @@
       const auto it = orders_.find(due.token);
       if (it == orders_.end()) return;
       const Order order = it->second;
-      if (worker::Port* to = link(order.worker)) to->forget_hold(due.token);
+      if (worker::WorkerLink* to = link(order.worker)) to->forget_hold(due.token);
       order.probe ? on_probe_end(order.worker, due.token, Outcome::kTimeout, {})
                   : on_hold_end(order.worker, due.token, Outcome::kTimeout, 0);
       return;
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -19,7 +19,7 @@
 #include "config/settings.h"
 #include "ledger/book.h"
 #include "members/list.h"
-#include "worker/port.h"
+#include "worker/worker_link.h"
 
 namespace laureltide::controller {
 
@@ -75,7 +75,7 @@
   virtual ~CoreEvents() = default;
   virtual void on_call_finished(const CallSummary& ended) = 0;
   virtual void on_log(const std::string& line) = 0;     // the module's words
-  virtual void on_oddity(const std::string& line) = 0;  // a worker that does what it should not
+  virtual void on_anomaly(const std::string& line) = 0;  // a worker that does what it should not
   virtual void on_send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) = 0;
 };
 
@@ -88,7 +88,7 @@
     std::uint32_t first_request_id = 1;  // ids wrap; a test starts close to the end
     ledger::Book* book = nullptr;        // outlives the core
     // Makes the end towards a worker; absent: the project's own protocol (worker::Link).
-    std::function<std::unique_ptr<worker::Port>(WorkerId, const io::Address&, worker::LinkEvents&)> port = {};
+    std::function<std::unique_ptr<worker::WorkerLink>(WorkerId, const io::Address&, worker::LinkEvents&)> port = {};
     std::size_t max_function_names =
         65'536;  // of functions kept for the module's orders; the longest unused go
   };
@@ -149,11 +149,11 @@
   void on_piece(WorkerId worker, std::uint64_t cookie, std::string body) override;
   void on_hold_end(WorkerId worker, std::uint64_t cookie, Outcome outcome, int instances) override;
   void on_probe_end(WorkerId worker, std::uint64_t cookie, Outcome outcome, LoadReport report) override;
-  void on_call_left(WorkerId worker, std::uint64_t cookie, std::uint64_t connection) override;
+  void on_call_sent(WorkerId worker, std::uint64_t cookie, std::uint64_t connection) override;
   void on_connection_end(WorkerId worker, std::string_view why) override;
   bool may_start_work(WorkerId worker) override { return module_->may_start_work(host_.now(), worker); }
   bool may_be_sent(WorkerId worker, std::uint64_t cookie) override;
-  void on_oddity(WorkerId worker, const std::string& what) override;
+  void on_anomaly(WorkerId worker, const std::string& what) override;
 
  private:
   struct Attempt {
@@ -215,11 +215,11 @@
   void discard(std::uint32_t request);
   static std::string trace(const Open& open);
   Answer sorry(const Open& open, Answer::Kind kind) const;
-  worker::Port* link(WorkerId worker);
+  worker::WorkerLink* link(WorkerId worker);
   const std::string* name_of(FunctionId function) const;
   void learn_name(const config::Function& function);
   void forget_names();
-  std::unique_ptr<worker::Port> own_protocol(WorkerId worker, const io::Address& address);
+  std::unique_ptr<worker::WorkerLink> own_protocol(WorkerId worker, const io::Address& address);
   void prune_links();
 
   io::Host& host_;
@@ -237,8 +237,8 @@
   std::unordered_map<std::uint64_t, Name> names_;  // of functions that calls have named
   Calls open_;
   std::uint32_t next_request_;
-  std::map<WorkerId, std::unique_ptr<worker::Port>> links_;
-  io::Graveyard<worker::Port> dead_links_;
+  std::map<WorkerId, std::unique_ptr<worker::WorkerLink>> links_;
+  io::Graveyard<worker::WorkerLink> dead_links_;
   std::unordered_map<std::uint64_t, Order> orders_;
   std::uint64_t next_order_ = 1;
   std::priority_queue<Alarm> alarms_;
--- a/src/controller/gateway.cpp
+++ b/src/controller/gateway.cpp
@@ -70,7 +70,7 @@
                         (invoke_failed_ ? "invoke: cannot listen on " : "invoke: listening on ") +
                             (invoke_failed_ ? *settings_->invoke.listen : invoke_->address()).text());
   }
-  if (settings_->stats_every > Duration(0)) stats_->start(settings_->stats_every);
+  if (settings_->stats_interval > Duration(0)) stats_->start(settings_->stats_interval);
 }
 
 void Gateway::add_front(const config::Broker& broker) {
@@ -137,7 +137,7 @@
 void Gateway::drain(std::function<void(bool)> done) {
   if (drained_) return;
   drained_ = std::move(done);
-  drain_until_ = host_.now() + settings_->gateway.drain_within;
+  drain_until_ = host_.now() + settings_->gateway.drain_timeout;
   events_.on_log_line(LogLevel::kInfo,
                       "draining: nothing more is taken, " + std::to_string(core_.open()) + " calls are open");
   for (const auto& front : fronts_) front->drain();
@@ -177,7 +177,7 @@
                           std::to_string(c.abandoned) + " open=" + std::to_string(core_.open()) +
                           " attempts=" + std::to_string(c.attempts) + " holds=" + std::to_string(c.holds) +
                           " probes=" + std::to_string(c.probes) + " oddities=" + std::to_string(c.oddities));
-  stats_->start(settings_->stats_every);
+  stats_->start(settings_->stats_interval);
 }
 
 }  // namespace laureltide::controller
--- a/src/controller/gateway.h
+++ b/src/controller/gateway.h
@@ -33,7 +33,7 @@
   void apply_worker_list_json(std::string_view json);
   // Takes over functions and brokers; what needs a restart is told and left as it is.
   void reload(std::shared_ptr<const config::Settings> settings);
-  // Takes nothing more and answers all; `done` comes then, or after the settings' drain_within.
+  // Takes nothing more and answers all; `done` comes then, or after the settings' drain_timeout.
   void drain(std::function<void(bool all_answered)> done);
 
   // Where the invoke API is reached; nothing if it is off or cannot listen.
@@ -45,7 +45,7 @@
   // ---- CoreEvents ----
   void on_call_finished(const CallSummary& ended) override { events_.on_call_finished(ended); }
   void on_log(const std::string& line) override { events_.on_log_line(LogLevel::kInfo, "module: " + line); }
-  void on_oddity(const std::string& line) override { events_.on_log_line(LogLevel::kWarn, line); }
+  void on_anomaly(const std::string& line) override { events_.on_log_line(LogLevel::kWarn, line); }
   void on_send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) override;
 
  private:
--- a/src/controller/invoke.cpp
+++ b/src/controller/invoke.cpp
@@ -23,9 +23,9 @@
 
 http::ServerOptions server_options(const config::Settings& settings) {
   http::ServerOptions o;
-  o.limits.body = settings.gateway.most_body;
-  o.head_within = settings.invoke.head_within, o.body_within = settings.invoke.body_within;
-  o.most_connections = settings.invoke.most_connections;
+  o.limits.body = settings.gateway.max_body_bytes;
+  o.head_within = settings.invoke.header_timeout, o.body_within = settings.invoke.body_timeout;
+  o.most_connections = settings.invoke.max_connections;
   return o;
 }
 
@@ -307,7 +307,7 @@
     if (const std::string why = book_->closed(); !why.empty())
       return problem(ticket, 503, why, std::move(headers));
     const ledger::Book::Usage usage = book_->usage(front(w.tenant));
-    if (usage.records >= options_.most_deferred || usage.bytes >= options_.most_deferred_mb << 20)
+    if (usage.records >= options_.max_deferred || usage.bytes >= options_.max_deferred_mb << 20)
       return problem(ticket, 429, "the tenant's deferred and named calls hold as much as they may",
                      std::move(headers));
   }
--- a/src/controller/invoke.h
+++ b/src/controller/invoke.h
@@ -4,7 +4,7 @@
 // A call with an Idempotency-Key, or a deferred one, has a record in the ledger under `http/<tenant>`; a
 // plain one has none, and is called off when its client goes away.
 //
-// Bounds: http::ServerOptions; `most_deferred` and `most_deferred_mb` of a tenant (429); 16 clients that wait
+// Bounds: http::ServerOptions; `max_deferred` and `max_deferred_mb` of a tenant (429); 16 clients that wait
 // for one call (429); callbacks under way at a time 64, the rest in line, each tried `callback_attempts`
 // times in a life.
 #pragma once
--- a/src/controller/trigger.cpp
+++ b/src/controller/trigger.cpp
@@ -88,7 +88,7 @@
   options.channel_max = static_cast<std::uint16_t>(std::max<std::size_t>(queues_.size(), 8));
   options.frame_max = broker_.frame_max;
   options.heartbeat_s = broker_.heartbeat_s;
-  options.most_body = core_.settings().gateway.most_body;
+  options.most_body = core_.settings().gateway.max_body_bytes;
   options.user = broker_.user, options.password = broker_.password, options.vhost = broker_.vhost;
   amqp::Table can;
   can.set("consumer_cancel_notify", true).set("publisher_confirms", true).set("basic.nack", true);
@@ -290,7 +290,7 @@
   const RequestClass& request_class = settings.module.classes[function->request_class];
   if (content.body_size > content.body.size())
     return refuse("body of " + std::to_string(content.body_size) + " bytes; the most is " +
-                  std::to_string(settings.gateway.most_body));
+                  std::to_string(settings.gateway.max_body_bytes));
   Call& call = parsed.call;
   call.function = function;
   if (p.expiration) {
--- a/src/front/message.cpp
+++ b/src/front/message.cpp
@@ -19,13 +19,13 @@
 
 using Protocol = TBinaryProtocolT<TMemoryBuffer>;
 
-constexpr std::int32_t kMostText = static_cast<std::int32_t>(kMostFrame);
+constexpr std::int32_t kMostText = static_cast<std::int32_t>(kMaxFrameBytes);
 constexpr std::int32_t kMostEntries = 64;  // of a map or list
 constexpr int kDeepest = 16;               // structures within each other
 
 const std::shared_ptr<TConfiguration>& configuration() {
   static const auto held =
-      std::make_shared<TConfiguration>(static_cast<int>(kMostFrame), static_cast<int>(kMostFrame), kDeepest);
+      std::make_shared<TConfiguration>(static_cast<int>(kMaxFrameBytes), static_cast<int>(kMaxFrameBytes), kDeepest);
   return held;
 }
 
@@ -64,7 +64,7 @@
       has_fields = true;
     } else if (id == 2 && type == proto::T_STRING) {
       in.readBinary(request.body);
-      if (request.body.size() > kMostBody) throw Unfit("body: over 16 KiB");
+      if (request.body.size() > kMaxBodyBytes) throw Unfit("body: over 16 KiB");
     } else {
       in.skip(type);
     }
@@ -138,7 +138,7 @@
     head = true;
     const bool call = method == "call", cancel = method == "cancel", health = method == "health";
     if (!call && !cancel && !health) {
-      parsed.kind = Parsed::Kind::kUnfit, parsed.unknown_method = true;
+      parsed.kind = Parsed::Kind::kInvalid, parsed.unknown_method = true;
       parsed.why = "no such method";
       return parsed;
     }
@@ -157,7 +157,7 @@
     if (buffer->available_read() > 0) throw Unfit("bytes behind the message");
     parsed.kind = Parsed::Kind::kRequest;
   } catch (const std::exception& e) {  // libthrift's, and what its allocations may throw
-    parsed.kind = head ? Parsed::Kind::kUnfit : Parsed::Kind::kBad;
+    parsed.kind = head ? Parsed::Kind::kInvalid : Parsed::Kind::kBad;
     parsed.why = e.what();
   }
   return parsed;
--- a/src/front/message.h
+++ b/src/front/message.h
@@ -9,9 +9,9 @@
 
 namespace laureltide::front {
 
-inline constexpr std::size_t kMostBody = 16U << 10;
+inline constexpr std::size_t kMaxBodyBytes = 16U << 10;
 // A frame holds a body and some dozens of short fields: what is longer is none.
-inline constexpr std::size_t kMostFrame = kMostBody + (16U << 10);
+inline constexpr std::size_t kMaxFrameBytes = kMaxBodyBytes + (16U << 10);
 
 using Fields = std::map<std::string, std::string>;
 
@@ -26,7 +26,7 @@
 struct Parsed {
   enum class Kind {
     kRequest,
-    kUnfit,  // a whole message that is no request of ours: `request.number` is to be told `why`
+    kInvalid,  // a whole message that is no request of ours: `request.number` is to be told `why`
     kBad,    // nothing of it can be relied on
   } kind = Kind::kBad;
   Request request;
--- a/src/front/server.cpp
+++ b/src/front/server.cpp
@@ -28,7 +28,7 @@
       if (left.size() < kLengthBytes) break;
       Reader in(left);
       const std::uint32_t size = in.u32();
-      if (size > kMostFrame) {  // also what is below nothing
+      if (size > kMaxFrameBytes) {  // also what is below nothing
         hang_up("a frame's length is over its bound");
         return bytes.size();
       }
@@ -64,20 +64,20 @@
   }
   // Why it may stay no longer, if so.
   const char* overdue(Time now) const {
-    if (!spoke_ && now - since_ >= server_.options_.speak_within) return "it says nothing";
-    if (half_since_ && now - *half_since_ >= server_.options_.frame_within) return "half a frame";
-    if (stream_->unsent() > server_.options_.most_unsent) return "it does not read its answers";
+    if (!spoke_ && now - since_ >= server_.options_.first_byte_timeout) return "it says nothing";
+    if (half_since_ && now - *half_since_ >= server_.options_.frame_timeout) return "half a frame";
+    if (stream_->unsent() > server_.options_.max_unsent_bytes) return "it does not read its answers";
     return nullptr;
   }
   void hang_up(const std::string& why) {
     if (!stream_) return;
-    server_.events_.on_oddity("closed a client's connection: " + why);
+    server_.events_.on_anomaly("closed a client's connection: " + why);
     for (const auto& [ticket, open] : numbers_)
       write_reply(scratch_, open, {Reply::Kind::kFailed, {}, {}, {}});
     Reply reply;
     reply.kind = Reply::Kind::kException, reply.text = why;
     write_reply(scratch_, 0, reply);  // under no number that ever had an answer
-    if (stream_->unsent() <= server_.options_.most_unsent) {
+    if (stream_->unsent() <= server_.options_.max_unsent_bytes) {
       stream_->write(scratch_);
       stream_->finish();
     }
@@ -98,7 +98,7 @@
     Request& request = parsed.request;
     switch (parsed.kind) {
       case Parsed::Kind::kBad: return hang_up("no message: " + parsed.why);
-      case Parsed::Kind::kUnfit: {
+      case Parsed::Kind::kInvalid: {
         if (request.number <= highest_) return hang_up("a sequence number that does not run up");
         Reply reply;
         reply.kind = Reply::Kind::kException, reply.text = parsed.why;
@@ -117,7 +117,7 @@
       write_health(scratch_, request.number, server_.events_.healthy());
       return flush();
     }
-    if (numbers_.size() >= server_.options_.most_open) {
+    if (numbers_.size() >= server_.options_.max_open_calls) {
       write_reply(scratch_, request.number, {Reply::Kind::kRefused, {}, {}, {}});
       return flush();
     }
@@ -131,7 +131,7 @@
   void on_cancel(std::int32_t number) {
     const Time now = server_.host_.now();
     if (now - cancels_since_ >= kCancelsWithin) cancels_since_ = now, cancels_ = 0;
-    if (++cancels_ > server_.options_.most_cancels) return hang_up("too many cancels at once");
+    if (++cancels_ > server_.options_.max_cancels_per_second) return hang_up("too many cancels at once");
     const auto it = open_.find(number);
     if (it == open_.end()) return;  // its answer has crossed it
     const Ticket ticket = it->second;
@@ -165,7 +165,7 @@
 
 bool Server::listen(const io::Address& at) {
   io::StreamOptions options;
-  options.read_ahead = 2 * (kMostFrame + kLengthBytes);
+  options.read_ahead = 2 * (kMaxFrameBytes + kLengthBytes);
   listener_ =
       host_.listen(at, options, [this](std::unique_ptr<io::Connection> s) { return accept(std::move(s)); });
   if (listener_) sweep_->start(kSweepEvery);
@@ -173,7 +173,7 @@
 }
 
 io::ConnectionEvents* Server::accept(std::unique_ptr<io::Connection> stream) {
-  if (connections_.size() >= options_.most_connections && !make_room()) return nullptr;
+  if (connections_.size() >= options_.max_connections && !make_room()) return nullptr;
   auto fresh = std::make_unique<Connection>(*this, std::move(stream));
   Connection* made = fresh.get();
   connections_[made] = std::move(fresh);
@@ -188,7 +188,7 @@
         (!oldest || std::pair(c->spoke(), c->said()) < std::pair(oldest->spoke(), oldest->said())))
       oldest = c;
   if (!oldest) return false;
-  events_.on_oddity("ended a client's resting connection to make room");
+  events_.on_anomaly("ended a client's resting connection to make room");
   // One that has never spoken has nothing on its way; the bounded number that may linger is for the others.
   if (oldest->spoke()) oldest->finish();
   drop(*oldest);
@@ -201,7 +201,7 @@
   listener_.reset();
 }
 
-void Server::finish_idle() {
+void Server::close_idle_connections() {
   std::vector<Connection*> idle;
   for (const auto& [c, owned] : connections_)
     if (!c->busy()) idle.push_back(c);
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -250,7 +250,7 @@
   c.settings.gateway.name = c.name;
   // An answer is on its way for less than what the rules themselves allow it.
   c.settings.gateway.answer_reserve = c.settings.module.rules.answer_grace;
-  c.settings.gateway.most_body = platform::kMaxBodyBytes;
+  c.settings.gateway.max_body_bytes = platform::kMaxBodyBytes;
   if (c.settings.module.tick <= Duration(0)) throw Problem("settings.tick_ns: expected a time above 0");
   if (c.settings.module.classes.empty()) throw Problem("settings.classes: expected one class or more");
   const auto stats = settings.find("stats");
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -39,7 +39,7 @@
 
 front::ServerOptions front_options(const Config& config) {
   front::ServerOptions options;
-  options.most_connections = of_rest(config.limits, kClientsShare);
+  options.max_connections = of_rest(config.limits, kClientsShare);
   return options;
 }
 
@@ -303,11 +303,11 @@
     closes_at_ = now;  // what was accepted just now has a moment to be read, too
   }
   // Those that nobody waits for any more end by themselves; what is owed is the clients'.
-  const bool read = front_.unsent() == 0 && now - std::max(closes_at_, front_.last_heard()) >= kQuiet;
+  const bool read = front_.unsent() == 0 && now - std::max(closes_at_, front_.last_received()) >= kQuiet;
   const bool settled = tickets_.empty() && (read || now >= killed_at_);
   if (!parting_ && !settled) return drain_look_->start(kLookEvery);
   if (!std::exchange(parting_, true)) {
-    front_.finish_idle();
+    front_.close_idle_connections();
     return drain_look_->start(kPartWithin);
   }
   say_(Severity::kInfo, "all answered; bye");
@@ -324,7 +324,7 @@
   oddities_[kind] = 1;
   say_(Severity::kWarn, what);
 }
-void Node::on_oddity(const std::string& what) { odd(what); }
+void Node::on_anomaly(const std::string& what) { odd(what); }
 void Node::on_log(const std::string& line) { odd("module: " + line); }
 // A line a call is more than the log's share of the memory, so it is off unless asked for.
 void Node::on_call_finished(const controller::CallSummary& ended) {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -50,7 +50,7 @@
   void on_call(front::Server::Ticket ticket, front::Fields fields, std::string body) override;
   void on_gone(front::Server::Ticket ticket) override;
   bool healthy() override { return !drained_; }
-  void on_oddity(const std::string& what) override;
+  void on_anomaly(const std::string& what) override;
 
   // ---- controller::CoreEvents ----
   void on_call_finished(const controller::CallSummary& ended) override;
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -49,7 +49,7 @@
     put(frame);
     const Key& key = out.at(id);
     if (!key.first) return;
-    link_.events_.on_call_left(link_.worker_, key.second, number);
+    link_.events_.on_call_sent(link_.worker_, key.second, number);
     if (connection_->unsent() > 0) untaken_.push_back(id);
   }
   void put(std::string_view frame) {
@@ -420,7 +420,7 @@
 
 // A second copy, a late one, or one under an id that was never sent: passed over, but not without end.
 void Link::on_unasked(Wire& wire, std::uint64_t id) {
-  events_.on_oddity(worker_, wire.carried.contains(id) ? "a copy of an answer, or one to what was given up"
+  events_.on_anomaly(worker_, wire.carried.contains(id) ? "a copy of an answer, or one to what was given up"
                                                        : "an answer under an id that was never sent there");
   if (++wire.unknown > options_.most_unknown) drop(wire, Outcome::kReset, "answers that nobody waits for");
 }
@@ -464,7 +464,7 @@
   const auto out = std::exchange(wire.out, {});
   wire.close();
   events_.on_connection_end(worker_, why);
-  if (spoilt) events_.on_oddity(worker_, "closed a connection: " + why);
+  if (spoilt) events_.on_anomaly(worker_, "closed a connection: " + why);
   for (const auto& [id, key] : out) {
     const auto asked = asked_.find(key);
     if (asked == asked_.end()) continue;
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -37,7 +37,7 @@
 
 #include "base/io.h"
 #include "platform/frame.h"
-#include "worker/port.h"
+#include "worker/worker_link.h"
 
 namespace laureltide::platform {
 
@@ -64,7 +64,7 @@
   bool reports_others_in_flight = false;
 };
 
-class Link : public worker::Port {
+class Link : public worker::WorkerLink {
  public:
   Link(io::Host& host, WorkerId worker, io::Address address, const LinkOptions& options,
        ConnectionBudget& budget, worker::LinkEvents& events);
--- a/src/standin/worker.cpp
+++ b/src/standin/worker.cpp
@@ -531,10 +531,10 @@
     return std::pair(static_cast<std::uint8_t>(f), static_cast<float>(v));
   };
   worker::Report r;
-  r.values = {field(worker::ReportField::kInHand, static_cast<double>(jobs_.size())),
+  r.values = {field(worker::ReportField::kInProgress, static_cast<double>(jobs_.size())),
               field(worker::ReportField::kWaiting, static_cast<double>(waiting)),
               field(worker::ReportField::kBusyCores, static_cast<double>(busy()) / cores_),
-              field(worker::ReportField::kMemoryAtWork, memory_used() / options_.memory_mb),
+              field(worker::ReportField::kMemoryInUse, memory_used() / options_.memory_mb),
               field(worker::ReportField::kLoads, loads_ + static_cast<double>(load_line_.size()))};
   return r;
 }
--- a/src/worker/link.cpp
+++ b/src/worker/link.cpp
@@ -9,13 +9,13 @@
 LoadReport to_load_report(const Report& report) {
   LoadReport r;
   for (const auto& [field, value] : report.values) switch (static_cast<ReportField>(field)) {
-      case ReportField::kInHand: r.in_progress = value; break;
+      case ReportField::kInProgress: r.in_progress = value; break;
       case ReportField::kWaiting: r.waiting = value; break;
       case ReportField::kBusyCores: r.busy_cores = value; break;
       case ReportField::kRunMs: r.run_ms = value; break;
       case ReportField::kServedPerS: r.served_per_s = value; break;
       case ReportField::kErrorsPerS: r.errors_per_s = value; break;
-      case ReportField::kMemoryAtWork: r.memory_in_use = value; break;
+      case ReportField::kMemoryInUse: r.memory_in_use = value; break;
       case ReportField::kLoads: r.loads = value; break;
     }
   return r;
@@ -77,8 +77,8 @@
 
 void Link::give(Message message, std::string_view body, std::uint64_t cookie) {
   const bool crowded =
-      calls_.size() + holds_.size() + probes_.size() + waiting_.size() >= options_.most_out ||
-      (connection_ && connection_->unsent() > options_.most_unsent);
+      calls_.size() + holds_.size() + probes_.size() + waiting_.size() >= options_.max_outstanding ||
+      (connection_ && connection_->unsent() > options_.max_unsent_bytes);
   const bool drained = draining_ && state_ == State::kReady && !std::holds_alternative<Probe>(message);
   if (crowded || drained)  // not handed to the transport: never ran
     return later([this, m = std::move(message), cookie] { end_waiting(m, cookie, Outcome::kFull); });
@@ -215,7 +215,7 @@
 }
 
 void Link::fail_protocol(ErrorCode code, std::string_view why) {
-  events_.on_oddity(worker_, "closed the connection: " + std::string(why));
+  events_.on_anomaly(worker_, "closed the connection: " + std::string(why));
   scratch_.clear();
   write(scratch_, Error{code, std::string(why)});
   connection_->write(scratch_);
@@ -247,12 +247,12 @@
   if (auto* answer = std::get_if<Answer>(&message)) return on_answer(std::move(*answer));
   if (auto* piece = std::get_if<Piece>(&message)) {
     const auto it = calls_.find(piece->id);
-    if (it == calls_.end()) return events_.on_oddity(worker_, "a piece that nobody waits for");
+    if (it == calls_.end()) return events_.on_anomaly(worker_, "a piece that nobody waits for");
     return events_.on_piece(worker_, it->second, std::move(piece->body));
   }
   if (const auto* held = std::get_if<Held>(&message)) {
     const auto it = holds_.find(held->order);
-    if (it == holds_.end()) return events_.on_oddity(worker_, "a hold answer that nobody waits for");
+    if (it == holds_.end()) return events_.on_anomaly(worker_, "a hold answer that nobody waits for");
     const std::uint64_t cookie = it->second;
     holds_.erase(it);
     const Outcome outcome = held->kind == HeldKind::kOk     ? Outcome::kOk
@@ -262,14 +262,14 @@
   }
   if (const auto* probed = std::get_if<Probed>(&message)) {
     const auto it = probes_.find(probed->id);
-    if (it == probes_.end()) return events_.on_oddity(worker_, "a probe answer that nobody waits for");
+    if (it == probes_.end()) return events_.on_anomaly(worker_, "a probe answer that nobody waits for");
     const std::uint64_t cookie = it->second;
     probes_.erase(it);
     return events_.on_probe_end(worker_, cookie, Outcome::kOk, to_load_report(probed->report));
   }
   if (const auto* drain = std::get_if<Drain>(&message)) return on_drain(drain->last_taken);
   if (const auto* error = std::get_if<Error>(&message)) {
-    events_.on_oddity(worker_, "says: " + error->text);
+    events_.on_anomaly(worker_, "says: " + error->text);
     return;  // it closes behind this
   }
   fail_protocol(kUnexpected, "a controller's message from a worker");
@@ -278,7 +278,7 @@
 void Link::on_answer(Answer answer) {
   const auto it = calls_.find(answer.id);
   if (it == calls_.end())
-    return events_.on_oddity(worker_, answer.id >= next_id_ ? "an answer to a call never sent"
+    return events_.on_anomaly(worker_, answer.id >= next_id_ ? "an answer to a call never sent"
                                                             : "an answer that nobody waits for any more");
   const std::uint64_t cookie = it->second;
   calls_.erase(it);
@@ -286,7 +286,7 @@
   LinkEvents::CallEnd end;
   end.outcome = outcome_of(answer.kind);
   end.found = found_of(answer.found);
-  if (answer.others_in_flight != kCompanyUntold) end.others_in_flight = answer.others_in_flight;
+  if (answer.others_in_flight != kOthersNotReported) end.others_in_flight = answer.others_in_flight;
   end.report = to_load_report(answer.report);
   end.reason = std::move(answer.reason);
   end.body = std::move(answer.body);
--- a/src/worker/protocol.h
+++ b/src/worker/protocol.h
@@ -20,7 +20,7 @@
 inline constexpr std::uint8_t kMajor = 1, kMinor = 0;
 inline constexpr std::uint32_t kDefaultMaxFrame = 9U << 20;
 inline constexpr std::uint32_t kHelloMaxFrame = 1024;  // before the peer's hello: garbage cannot make us wait
-inline constexpr std::uint8_t kCompanyUntold = 255;
+inline constexpr std::uint8_t kOthersNotReported = 255;
 
 enum class FrameType : std::uint8_t {
   kHello = 1,
@@ -44,13 +44,13 @@
 enum class HeldKind : std::uint8_t { kOk = 1, kFull, kLoadFailed };
 
 enum class ReportField : std::uint8_t {
-  kInHand = 1,
+  kInProgress = 1,
   kWaiting,
   kBusyCores,
   kRunMs,
   kServedPerS,
   kErrorsPerS,
-  kMemoryAtWork,
+  kMemoryInUse,
   kLoads
 };
 struct Report {
@@ -80,7 +80,7 @@
   std::uint64_t id = 0;
   AnswerKind kind = AnswerKind::kOk;
   FoundKind found = FoundKind::kNotReported;
-  std::uint8_t others_in_flight = kCompanyUntold;  // calls of the function that were here when this one came
+  std::uint8_t others_in_flight = kOthersNotReported;  // calls of the function that were here when this one came
   Report report;
   std::string reason;
   std::string body;
--- a/src/worker/port.h
+++ b/src/worker/worker_link.h
@@ -37,16 +37,16 @@
   // Whether a call's bytes may still leave that has waited since it was given; asked at the same moments.
   virtual bool may_be_sent(WorkerId, std::uint64_t) { return true; }
   // The bytes of a call were handed to the transport, on the connection of that number of the port's own.
-  virtual void on_call_left(WorkerId, std::uint64_t, std::uint64_t) {}
+  virtual void on_call_sent(WorkerId, std::uint64_t, std::uint64_t) {}
   // A connection to the worker ended; `why` is one of a few fixed texts.
   virtual void on_connection_end(WorkerId, std::string_view) {}
   // Something the worker did that the protocol does not allow, or an answer that nobody waits for.
-  virtual void on_oddity(WorkerId worker, const std::string& what) = 0;
+  virtual void on_anomaly(WorkerId worker, const std::string& what) = 0;
 };
 
-class Port {
+class WorkerLink {
  public:
-  virtual ~Port() = default;
+  virtual ~WorkerLink() = default;
 
   // `call.id` is set by the port. The body is read at once, or kept only until the connection stands.
   virtual void call(Call call, std::string_view body, std::uint64_t cookie) = 0;
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -17,8 +17,8 @@
 )";
 
 TEST(Settings, TheLeastThatServes) {
-  const Checked c = parse(kLeast, "f.toml");
-  for (const Problem& p : c.problems) ADD_FAILURE() << p.show();
+  const SettingsResult c = parse(kLeast, "f.toml");
+  for (const Problem& p : c.problems) ADD_FAILURE() << p.to_string();
   ASSERT_TRUE(c.settings);
   EXPECT_TRUE(c.settings->gateway.loopback_only);
   EXPECT_NE(c.settings->find("echo"), nullptr);
@@ -59,25 +59,25 @@
   };
   for (const Case& k : cases) {
     SCOPED_TRACE(k.more);
-    const Checked c = parse(kLeast + k.more, "f.toml");
+    const SettingsResult c = parse(kLeast + k.more, "f.toml");
     EXPECT_FALSE(c.settings);
     ASSERT_FALSE(c.problems.empty());
     const bool named = std::any_of(c.problems.begin(), c.problems.end(), [&](const Problem& p) {
       return p.key == k.key && p.text.find(k.text) != std::string::npos && (k.line == 0 || p.line == k.line);
     });
-    EXPECT_TRUE(named) << c.problems[0].show();
+    EXPECT_TRUE(named) << c.problems[0].to_string();
   }
 }
 
 TEST(Settings, AllErrorsAreSaidAtOnce) {
-  const Checked c = parse(kLeast + "[bounds]\nopen_calls = -1\nattempts = 0\nprobes = 3\n", "f.toml");
+  const SettingsResult c = parse(kLeast + "[bounds]\nopen_calls = -1\nattempts = 0\nprobes = 3\n", "f.toml");
   EXPECT_EQ(c.problems.size(), 3U);
-  EXPECT_EQ(c.problems[0].show().rfind("f.toml:10: bounds.open_calls: expected", 0), 0U)
-      << c.problems[0].show();
+  EXPECT_EQ(c.problems[0].to_string().rfind("f.toml:10: bounds.open_calls: expected", 0), 0U)
+      << c.problems[0].to_string();
 }
 
 TEST(Settings, BareCharactersBeyondAsciiAreRefused) {
-  const Checked c = parse(
+  const SettingsResult c = parse(
       "# caf\xc3\xa9\n\xce\xb6"
       "6 = 1\n",
       "f.toml");
@@ -109,12 +109,12 @@
 
 // Found by fuzzing: the library reads past its tables on such a key (fuzz/seeds/config).
 TEST(Settings, BareKeysBeyondAsciiAreRefusedBeforeTheLibrarySeesThem) {
-  const Checked checked = parse(
+  const SettingsResult checked = parse(
       "[gateway]\n\xce\xb6"
       "6 = 1\n",
       "g.toml");
   ASSERT_EQ(checked.problems.size(), 1U);
-  EXPECT_EQ(checked.problems[0].show(), "g.toml:2: expected ASCII outside of quotes and comments");
+  EXPECT_EQ(checked.problems[0].to_string(), "g.toml:2: expected ASCII outside of quotes and comments");
 }
 
 }  // namespace
--- a/tests/front/front_test.cpp
+++ b/tests/front/front_test.cpp
@@ -29,7 +29,7 @@
   const std::string whole = frame_of(7, {{"op", "read"}, {"call", "1"}}, "body");
   for (std::size_t n = 0; n < whole.size(); ++n)
     EXPECT_NE(parse(std::string_view(whole).substr(0, n)).kind, Parsed::Kind::kRequest) << n;
-  EXPECT_EQ(parse(whole + "x").kind, Parsed::Kind::kUnfit);
+  EXPECT_EQ(parse(whole + "x").kind, Parsed::Kind::kInvalid);
 }
 
 TEST(FrontMessage, LengthsWithinThatLieAreBad) {
@@ -46,11 +46,11 @@
 }
 
 TEST(FrontMessage, BoundsOfBodyAndFields) {
-  EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMostBody, 'x'))).kind, Parsed::Kind::kRequest);
-  EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMostBody + 1, 'x'))).kind, Parsed::Kind::kUnfit);
+  EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMaxBodyBytes, 'x'))).kind, Parsed::Kind::kRequest);
+  EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMaxBodyBytes + 1, 'x'))).kind, Parsed::Kind::kInvalid);
   Fields many;
   for (int i = 0; i < 100; ++i) many[std::to_string(i)] = "x";
-  EXPECT_EQ(parse(frame_of(1, many, "")).kind, Parsed::Kind::kUnfit);
+  EXPECT_EQ(parse(frame_of(1, many, "")).kind, Parsed::Kind::kInvalid);
 }
 
 // ---- Server -------------------------------------------------------------------------------------------
@@ -59,7 +59,7 @@
   sim::Network net;
   ServerOptions options = [] {
     ServerOptions o;
-    o.most_connections = 8;
+    o.max_connections = 8;
     return o;
   }();
   Server server{net, options, *this};
@@ -71,7 +71,7 @@
   void on_call(Server::Ticket t, Fields f, std::string) override { calls.emplace_back(t, std::move(f)); }
   void on_gone(Server::Ticket t) override { gone.push_back(t); }
   bool healthy() override { return true; }
-  void on_oddity(const std::string&) override { ++oddities; }
+  void on_anomaly(const std::string&) override { ++oddities; }
 
   void serve(std::size_t i) {
     Reply r;
@@ -104,7 +104,7 @@
   EXPECT_EQ(client.replies().find(4)->second.body, "for 4");
   EXPECT_EQ(kinds(client, 3), "refused");
   EXPECT_EQ(client.replies().find(3)->second.pushback, "70");
-  EXPECT_EQ(server.owed(), 0U);
+  EXPECT_EQ(server.open_calls(), 0U);
 }
 
 TEST_F(FrontTest, LengthsOverTheBoundEndTheConnectionAtTheirHead) {
@@ -178,7 +178,7 @@
   for (int i = 0; i < 300; ++i) client.cancel(client.call({{"n", "x"}}, ""));
   net.run_for(20ms);
   EXPECT_TRUE(client.closed());
-  EXPECT_EQ(server.owed(), 0U);
+  EXPECT_EQ(server.open_calls(), 0U);
 }
 
 TEST_F(FrontTest, SilentAndHalfSpokenConnectionsEndInTime) {
@@ -207,7 +207,7 @@
   std::string other = PlatformClient::call_bytes(1, {}, "");
   other.replace(12, 4, "tell");
   client.raw(other);
-  client.raw(PlatformClient::call_bytes(2, {{"n", "x"}}, std::string(kMostBody + 1, 'x')));
+  client.raw(PlatformClient::call_bytes(2, {{"n", "x"}}, std::string(kMaxBodyBytes + 1, 'x')));
   client.raw(PlatformClient::call_bytes(3, {{"n", "x"}}, ""));
   net.run_for(20ms);
   EXPECT_EQ(kinds(client, 1), "exception");
@@ -248,7 +248,7 @@
   client->hang_up();
   net.run_for(20ms);
   EXPECT_EQ(gone.size(), 1U);
-  EXPECT_EQ(server.owed(), 0U);
+  EXPECT_EQ(server.open_calls(), 0U);
   EXPECT_EQ(server.connections(), 0U);
 }
 
--- a/tests/gateway_fixture.h
+++ b/tests/gateway_fixture.h
@@ -115,8 +115,8 @@
 
 inline std::shared_ptr<const config::Settings> settings(const std::string& more_broker = "",
                                                         const std::string& more = "") {
-  config::Checked checked = config::parse(settings_text(more_broker, more), "test.toml");
-  for (const auto& p : checked.problems) ADD_FAILURE() << p.show();
+  config::SettingsResult checked = config::parse(settings_text(more_broker, more), "test.toml");
+  for (const auto& p : checked.problems) ADD_FAILURE() << p.to_string();
   return std::make_shared<config::Settings>(std::move(checked.settings).value());
 }
 
--- a/tests/ledger/restart_test.cpp
+++ b/tests/ledger/restart_test.cpp
@@ -532,8 +532,8 @@
 TEST(Restart, SettingsThatNeedALedgerSayIt) {
   const auto checked = config::parse(settings_text("sole_reader = true\n"), "t.toml");
   ASSERT_FALSE(checked.settings);
-  EXPECT_NE(checked.problems[0].show().find("need a ledger"), std::string::npos)
-      << checked.problems[0].show();
+  EXPECT_NE(checked.problems[0].to_string().find("need a ledger"), std::string::npos)
+      << checked.problems[0].to_string();
 }
 
 TEST(Restart, ABrokersTenantIsNotTheMessagesToSay) {
--- a/tests/node/crossings_test.cpp
+++ b/tests/node/crossings_test.cpp
@@ -54,7 +54,7 @@
   net::Loop loop;
   front::ServerOptions options = [] {
     front::ServerOptions o;
-    o.most_connections = 1;
+    o.max_connections = 1;
     return o;
   }();
   front::Server server{loop, options, *this};
@@ -65,7 +65,7 @@
   void on_call(front::Server::Ticket t, front::Fields, std::string) override { calls.push_back(t); }
   void on_gone(front::Server::Ticket) override { ++gone; }
   bool healthy() override { return true; }
-  void on_oddity(const std::string&) override {}
+  void on_anomaly(const std::string&) override {}
   bool run_until(const std::function<bool()>& done) { return ::laureltide::tests::run_until(loop, done); }
   void serve(std::size_t i, const std::string& body = "b") {
     front::Reply r;
@@ -92,7 +92,7 @@
   ASSERT_TRUE(run_until([&] { return calls.size() == 1; }));
   serve(0);
   client.write(PlatformClient::call_bytes(2, {{"n", "2"}}, ""));  // the loop has not seen it
-  server.finish_idle();
+  server.close_idle_connections();
   ASSERT_TRUE(run_until([&] { return client.read(), client.ended() || client.error(); }));
   EXPECT_EQ(client.error(), 0);
   EXPECT_EQ(answers(client.read()), Kinds{"served"});
@@ -122,7 +122,7 @@
     ASSERT_TRUE(run_until([&] { return calls.size() == static_cast<std::size_t>(number - 1); }));
     serve(calls.size() - 1, body);
   }
-  server.finish_idle();  // what is unsent goes out all the same
+  server.close_idle_connections();  // what is unsent goes out all the same
   ASSERT_TRUE(run_until([&] { return client.read(), client.ended() || client.error(); }));
   EXPECT_EQ(client.error(), 0);
   EXPECT_EQ(answers(client.read()).size(), calls.size());
@@ -497,7 +497,7 @@
   void on_piece(WorkerId, std::uint64_t, std::string) override {}
   void on_hold_end(WorkerId, std::uint64_t, Outcome, int) override {}
   void on_probe_end(WorkerId, std::uint64_t, Outcome, LoadReport) override {}
-  void on_oddity(WorkerId, const std::string&) override {}
+  void on_anomaly(WorkerId, const std::string&) override {}
   bool may_start_work(WorkerId) override { return may; }
   bool may_be_sent(WorkerId, std::uint64_t cookie) override { return cookie != over; }
   bool may = true;
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -590,7 +590,7 @@
   struct Events : controller::CoreEvents {
     void on_call_finished(const controller::CallSummary&) override {}
     void on_log(const std::string&) override {}
-    void on_oddity(const std::string&) override {}
+    void on_anomaly(const std::string&) override {}
     void on_send_to_peer(std::optional<std::uint32_t>, std::span<const std::byte>) override {}
   } events;
   controller::Core core(net, std::make_shared<config::Settings>(parsed(config()).settings), events, options);
--- a/tests/platform/link_test.cpp
+++ b/tests/platform/link_test.cpp
@@ -103,7 +103,7 @@
     holds[c].emplace_back(o, n);
   }
   void on_probe_end(WorkerId, std::uint64_t c, Outcome o, LoadReport) override { probes[c].push_back(o); }
-  void on_oddity(WorkerId, const std::string&) override { ++oddities; }
+  void on_anomaly(WorkerId, const std::string&) override { ++oddities; }
   bool may_start_work(WorkerId) override { return may; }
   bool may_be_sent(WorkerId, std::uint64_t cookie) override { return !over.contains(cookie); }
   bool may = true;
--- a/tests/worker/worker_test.cpp
+++ b/tests/worker/worker_test.cpp
@@ -19,7 +19,7 @@
           Call{1, 500, 2, "echo", "call-1", "key", "volta", "body"},
           Cancel{1},
           Answer{1, AnswerKind::kMiss, FoundKind::kLoadFailed, 3, report, "its load failed", ""},
-          Answer{2, AnswerKind::kOk, FoundKind::kLoaded, kCompanyUntold, {}, "", "result"},
+          Answer{2, AnswerKind::kOk, FoundKind::kLoaded, kOthersNotReported, {}, "", "result"},
           Piece{1, "part"},
           Hold{9, 2, "echo"},
           Held{9, HeldKind::kFull, 1},
@@ -86,7 +86,7 @@
   void on_piece(WorkerId, std::uint64_t, std::string b) override { pieces.push_back(std::move(b)); }
   void on_hold_end(WorkerId, std::uint64_t c, Outcome o, int) override { holds.push_back({c, o}); }
   void on_probe_end(WorkerId, std::uint64_t c, Outcome o, LoadReport) override { probes.push_back({c, o}); }
-  void on_oddity(WorkerId, const std::string& what) override { oddities.push_back(what); }
+  void on_anomaly(WorkerId, const std::string& what) override { oddities.push_back(what); }
   bool may_start_work(WorkerId) override { return begins; }
   bool may_be_sent(WorkerId, std::uint64_t cookie) override { return cookie != over; }
   bool begins = true;
@@ -251,7 +251,7 @@
 
 TEST_F(LinkTest, BoundsAreKept) {
   LinkOptions narrow;
-  narrow.most_out = 2;
+  narrow.max_outstanding = 2;
   Link small(net, WorkerId{1}, kAt, narrow, events);
   for (std::uint64_t i = 1; i <= 3; ++i) {
     Call c;
