--- a/src/controller/gateway.cpp
+++ b/src/controller/gateway.cpp
@@ -72,7 +72,7 @@
         (invoke_listen_failed_ ? "invoke: cannot listen on " : "invoke: listening on ") +
             (invoke_listen_failed_ ? *settings_->invoke.listen : invoke_front_->address()).text());
   }
-  if (settings_->stats_every > Duration(0)) stats_timer_->start(settings_->stats_every);
+  if (settings_->stats_interval > Duration(0)) stats_timer_->start(settings_->stats_interval);
 }
 
 void Gateway::add_front(const config::Broker& broker) {
@@ -140,7 +140,7 @@
 void Gateway::drain(std::function<void(bool)> done) {
   if (on_drained_) return;
   on_drained_ = std::move(done);
-  drain_deadline_ = host_.now() + settings_->gateway.drain_within;
+  drain_deadline_ = host_.now() + settings_->gateway.drain_timeout;
   events_.on_log_line(LogLevel::kInfo, "draining: no new calls are accepted, " +
                                            std::to_string(core_.open()) + " calls are open");
   for (const auto& front : fronts_) front->drain();
@@ -180,7 +180,7 @@
                           std::to_string(c.abandoned) + " open=" + std::to_string(core_.open()) +
                           " attempts=" + std::to_string(c.attempts) + " holds=" + std::to_string(c.holds) +
                           " probes=" + std::to_string(c.probes) + " oddities=" + std::to_string(c.anomalies));
-  stats_timer_->start(settings_->stats_every);
+  stats_timer_->start(settings_->stats_interval);
 }
 
 }  // namespace laureltide::controller
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -49,7 +49,7 @@
     transmit(frame);
     const Key& key = in_flight.at(id);
     if (!key.first) return;
-    link_.events_.on_call_left(link_.worker_, key.second, number);
+    link_.events_.on_call_sent(link_.worker_, key.second, number);
     if (connection_->unsent() > 0) unsent_calls_.push_back(id);
   }
   void transmit(std::string_view frame) {
@@ -434,7 +434,7 @@
 
 // Ignores a duplicate answer, a late one, or one to an id that was never sent, up to a limit per connection.
 void Link::on_unexpected_answer(InvokerConnection& connection, std::uint64_t id) {
-  events_.on_oddity(worker_, connection.carried.contains(id)
+  events_.on_anomaly(worker_, connection.carried.contains(id)
                                  ? "a duplicate answer, or an answer to a cancelled call"
                                  : "an answer to an id that was never sent on the connection");
   if (++connection.unexpected_answers > options_.max_unexpected_answers)
@@ -481,7 +481,7 @@
   const auto ended = std::exchange(connection.in_flight, {});
   connection.close();
   events_.on_connection_end(worker_, why);
-  if (malformed) events_.on_oddity(worker_, "closed a connection: " + why);
+  if (malformed) events_.on_anomaly(worker_, "closed a connection: " + why);
   for (const auto& [id, key] : ended) {
     const auto pending = pending_.find(key);
     if (pending == pending_.end()) continue;
