--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -75,10 +75,10 @@
 };
 
 struct Invoke {
-  std::optional<io::Address> listen;                        // absent: no invoke API
-  Duration keep = std::chrono::hours(1);                    // answers of deferred and named calls
+  std::optional<io::Address> listen;                      // absent: no invoke API
+  Duration keep = std::chrono::hours(1);                  // answers of deferred and named calls
   std::size_t max_deferred = 1000, max_deferred_mb = 64;  // of a tenant, open and answered
-  std::vector<io::Address> callbacks;                       // where answers may be posted; none: nowhere
+  std::vector<io::Address> callbacks;                     // where answers may be posted; none: nowhere
   int callback_attempts = 5;
   std::size_t max_connections = 1024;
   Duration header_timeout = std::chrono::seconds(10), body_timeout = std::chrono::seconds(30);
@@ -94,7 +94,7 @@
   bool loopback_only = true;
   std::uint64_t max_body_bytes = 8U << 20;
   Duration answer_reserve = std::chrono::milliseconds(20);  // kept of a client's patience for the way back
-  Duration drain_timeout = std::chrono::seconds(30);         // after SIGTERM
+  Duration drain_timeout = std::chrono::seconds(30);        // after SIGTERM
   std::optional<io::Address> peer_listen;
 };
 
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -80,7 +80,7 @@
  public:
   virtual ~CoreEvents() = default;
   virtual void on_call_finished(const CallSummary& ended) = 0;
-  virtual void on_log(const std::string& line) = 0;     // a log line of the module
+  virtual void on_log(const std::string& line) = 0;      // a log line of the module
   virtual void on_anomaly(const std::string& line) = 0;  // unexpected behaviour of a worker
   virtual void on_send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) = 0;
 };
@@ -94,7 +94,8 @@
     std::uint32_t first_request_id = 1;  // ids wrap around; tests start close to the end
     ledger::Book* book = nullptr;        // outlives the core
     // Creates the port to a worker; absent: worker::Link, which speaks the project's own protocol.
-    std::function<std::unique_ptr<worker::WorkerLink>(WorkerId, const io::Address&, worker::LinkEvents&)> port = {};
+    std::function<std::unique_ptr<worker::WorkerLink>(WorkerId, const io::Address&, worker::LinkEvents&)>
+        port = {};
     std::size_t max_function_names = 65'536;  // kept for the module's orders; least recently used go first
   };
   Core(io::Host& host, std::shared_ptr<const config::Settings> settings, CoreEvents& events, Options options);
--- a/src/front/message.cpp
+++ b/src/front/message.cpp
@@ -24,8 +24,8 @@
 constexpr int kDeepest = 16;               // structures within each other
 
 const std::shared_ptr<TConfiguration>& configuration() {
-  static const auto held =
-      std::make_shared<TConfiguration>(static_cast<int>(kMaxFrameBytes), static_cast<int>(kMaxFrameBytes), kDeepest);
+  static const auto held = std::make_shared<TConfiguration>(static_cast<int>(kMaxFrameBytes),
+                                                            static_cast<int>(kMaxFrameBytes), kDeepest);
   return held;
 }
 
--- a/src/front/message.h
+++ b/src/front/message.h
@@ -27,7 +27,7 @@
   enum class Kind {
     kRequest,
     kInvalid,  // a whole message that is no request of ours: `request.number` is to be told `why`
-    kBad,    // nothing of it can be relied on
+    kBad,      // nothing of it can be relied on
   } kind = Kind::kBad;
   Request request;
   std::string why;
--- a/src/worker/link.cpp
+++ b/src/worker/link.cpp
@@ -279,7 +279,7 @@
   const auto it = calls_.find(answer.id);
   if (it == calls_.end())
     return events_.on_anomaly(worker_, answer.id >= next_id_ ? "an answer to a call never sent"
-                                                            : "an answer that nobody waits for any more");
+                                                             : "an answer that nobody waits for any more");
   const std::uint64_t cookie = it->second;
   calls_.erase(it);
   call_ids_.erase(cookie);
--- a/src/worker/link.h
+++ b/src/worker/link.h
@@ -20,8 +20,9 @@
   std::string controller_name = "laureltide";
   std::int64_t started_unix_ms = 0;                        // of this life of the controller
   Duration dial_timeout = std::chrono::milliseconds(250);  // until the worker's hello
-  std::size_t max_unsent_bytes = 16U << 20;  // bytes waiting for the worker to read; over it calls end as full
-  std::size_t max_outstanding = 4096;          // calls and orders out or waiting for the connection; over it: full
+  std::size_t max_unsent_bytes =
+      16U << 20;                       // bytes waiting for the worker to read; over it calls end as full
+  std::size_t max_outstanding = 4096;  // calls and orders out or waiting for the connection; over it: full
   std::uint32_t max_frame = kDefaultMaxFrame;
 };
 
--- a/src/worker/protocol.h
+++ b/src/worker/protocol.h
@@ -80,7 +80,8 @@
   std::uint64_t id = 0;
   AnswerKind kind = AnswerKind::kOk;
   FoundKind found = FoundKind::kNotReported;
-  std::uint8_t others_in_flight = kOthersNotReported;  // calls of the function that were here when this one came
+  std::uint8_t others_in_flight =
+      kOthersNotReported;  // calls of the function that were here when this one came
   Report report;
   std::string reason;
   std::string body;
--- a/tests/front/front_test.cpp
+++ b/tests/front/front_test.cpp
@@ -47,7 +47,8 @@
 
 TEST(FrontMessage, BoundsOfBodyAndFields) {
   EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMaxBodyBytes, 'x'))).kind, Parsed::Kind::kRequest);
-  EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMaxBodyBytes + 1, 'x'))).kind, Parsed::Kind::kInvalid);
+  EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMaxBodyBytes + 1, 'x'))).kind,
+            Parsed::Kind::kInvalid);
   Fields many;
   for (int i = 0; i < 100; ++i) many[std::to_string(i)] = "x";
   EXPECT_EQ(parse(frame_of(1, many, "")).kind, Parsed::Kind::kInvalid);
