--- a/src/apps/play.cpp
+++ b/src/apps/play.cpp
@@ -20,7 +20,7 @@
 #include "net/loop.h"
 #include "standin/caller.h"
 #include "standin/day.h"
-#include "standin/invoker.h"
+#include "standin/http_caller.h"
 
 namespace lt = laureltide;
 using lt::standin::Day;
@@ -119,7 +119,7 @@
     for (int i = 0; i < c.functions; ++i) r.class_of_function[day.function(c, i)] = c.name;
   }
   for (std::uint32_t id = 1; id <= day.workers; ++id)
-    for (const std::uint32_t w : {id, id + Day::kSuccessor}) {
+    for (const std::uint32_t w : {id, id + Day::kSuccessorIdOffset}) {
       r.rack_of_worker[std::to_string(w)] = "rack-" + std::to_string(id % day.racks);
       r.zone_of_worker[std::to_string(w)] = "room";
     }
@@ -218,7 +218,7 @@
     };
     for (std::uint32_t id = 1; id <= day_.workers; ++id) {
       worker(id, false);
-      if (day_.has_successor(id)) worker(id + Day::kSuccessor, true);
+      if (day_.has_successor(id)) worker(id + Day::kSuccessorIdOffset, true);
     }
     standin("list", {"list", "--port", std::to_string(list), "--ports", ports});
     std::vector<std::uint16_t> peers;
@@ -230,7 +230,7 @@
       gateways_.push_back(gateway(n));
     }
     if (day_.front == "http") {
-      lt::standin::InvokerOptions o;
+      lt::standin::HttpCallerOptions o;
       for (std::uint32_t n = 0; n < day_.gateways; ++n) {
         o.gateways.push_back({"127.0.0.1", invoke_[n]});
         o.names.push_back("gw-" + std::to_string(n));
@@ -238,7 +238,7 @@
       for (const std::string& tenant : tenants_of(day_)) o.tokens[tenant] = token_of(tenant);
       o.deferred = day_.deferred;
       o.repeat = day_.repeat;
-      invoker_ = std::make_unique<lt::standin::Invoker>(loop_, o, tape_);
+      invoker_ = std::make_unique<lt::standin::HttpCaller>(loop_, o, tape_);
       invoker_->on_answer = [this](const std::string& call, const lt::standin::Caller::Answered& a) {
         if (open_.erase(call) > 0) ++outcomes_[a.outcome];
       };
@@ -407,7 +407,7 @@
   std::vector<std::unique_ptr<lt::apps::Child>> standins_, gateways_;
   std::set<lt::apps::Child*> agents_;  // of the boxes: programs of ours, which play no part
   std::unique_ptr<lt::standin::Caller> caller_;
-  std::unique_ptr<lt::standin::Invoker> invoker_;
+  std::unique_ptr<lt::standin::HttpCaller> invoker_;
   std::vector<std::uint16_t> invoke_;
   std::unique_ptr<lt::standin::Script> script_;
   std::unique_ptr<lt::io::Timer> begin_, next_call_, progress_, death_look_;
@@ -491,7 +491,7 @@
       std::ostringstream text;
       text << in.rdbuf();
       played = dir + "/day.toml";
-      std::ofstream(played) << lt::standin::faster(text.str(), speed);
+      std::ofstream(played) << lt::standin::scale_day_speed(text.str(), speed);
       day = lt::standin::load_day(played, problems);
       if (!day) return 2;
     }
--- a/src/apps/standin.cpp
+++ b/src/apps/standin.cpp
@@ -106,7 +106,7 @@
   if (c.agent_port != 0) options.agent = lt::io::Address{"127.0.0.1", c.agent_port};
   lt::standin::Worker worker(loop, options, tape);
   for (const auto& cls : day->classes)
-    if (cls.effect == "keyed") worker.forget_keys_after(cls.repeat_window);
+    if (cls.effect == "keyed") worker.set_deduplication_window(cls.repeat_window);
   const lt::io::Address at{"127.0.0.1", c.port};
   std::uint16_t port = c.port;
   if (!c.stand_by) {  // a successor starts when the day says so
@@ -157,7 +157,7 @@
   lt::standin::RegistryOptions options;
   options.bytes_per_s = day->store_mb_per_s * 1e6;
   lt::standin::Registry registry(loop, options, tape);
-  if (!c.day.empty()) lt::standin::publish_all(*day, registry, 1, 0, tape, loop.now());
+  if (!c.day.empty()) lt::standin::publish_functions(*day, registry, 1, 0, tape, loop.now());
   if (!registry.listen({"127.0.0.1", c.port})) return cannot_listen(c.port);
   return serve(loop, c, registry.address().port,
                [&](auto& s) { lt::standin::script_registry(s, *day, registry, loop, tape); });
--- a/src/standin/broker.cpp
+++ b/src/standin/broker.cpp
@@ -43,7 +43,7 @@
     const auto it = channels_.find(number);
     return it == channels_.end() ? nullptr : &it->second;
   }
-  void set_mute(bool mute) {
+  void set_writing_paused(bool mute) {
     mute_ = mute;
     if (!mute && !held_.empty()) stream_->write(std::exchange(held_, {}));
   }
@@ -182,7 +182,7 @@
     std::vector<std::string> own;
     for (const auto& [name, q] : broker_.queues_)
       if (q.owner == this) own.push_back(name);
-    for (const std::string& name : own) broker_.drop_queue(name);
+    for (const std::string& name : own) broker_.remove_queue(name);
   }
   void leave(const std::string& why) {
     if (std::exchange(left_, true)) return;
@@ -298,7 +298,7 @@
       if ((m.if_unused && !q->consumers.empty()) || (m.if_empty && count > 0))
         return channel_error(n, ReplyCode::kPreconditionFailed,
                              "queue '" + name + "' is in use or not empty");
-      broker_.drop_queue(name);
+      broker_.remove_queue(name);
     }
     if (!m.no_wait) endpoint_.send(n, QueueDeleteOk{count});
   }
@@ -604,7 +604,7 @@
   given_back_.insert(name);
 }
 
-void Broker::drop_queue(const std::string& name) {
+void Broker::remove_queue(const std::string& name) {
   const auto it = queues_.find(name);
   if (it == queues_.end()) return;
   const auto consumers = it->second.consumers;
@@ -621,7 +621,7 @@
   const auto it = queues_.find(consumer->queue);
   if (it == queues_.end()) return;
   std::erase(it->second.consumers, consumer);
-  if (it->second.auto_delete && it->second.consumers.empty()) drop_queue(consumer->queue);
+  if (it->second.auto_delete && it->second.consumers.empty()) remove_queue(consumer->queue);
 }
 
 // ---- The broker -----------------------------------------------------------------------------------------
@@ -696,12 +696,12 @@
 void Broker::break_connections(const std::string& who) {
   each(who, [](Connection& c) { c.abort(); });
 }
-void Broker::set_deaf(bool deaf, const std::string& who) {
+void Broker::set_reading_paused(bool deaf, const std::string& who) {
   tape_.note(host_.now(), "deaf", {{"on", deaf}, {"who", who}});
   each(who, [&](Connection& c) { c.endpoint().read(!deaf); });
 }
-void Broker::set_mute(bool mute, const std::string& who) {
-  each(who, [&](Connection& c) { c.set_mute(mute); });
+void Broker::set_writing_paused(bool mute, const std::string& who) {
+  each(who, [&](Connection& c) { c.set_writing_paused(mute); });
 }
 void Broker::close_channels(ReplyCode code, const std::string& text, const std::string& who) {
   each(who, [&](Connection& c) { c.close_channels(code, text); });
--- a/src/standin/broker.h
+++ b/src/standin/broker.h
@@ -38,8 +38,8 @@
 
   // ---- Faults. `who` is a client's connection_name; empty: all. ----
   void break_connections(const std::string& who = "");
-  void set_deaf(bool deaf, const std::string& who = "");  // reads nothing: answers and acks pile up
-  void set_mute(bool mute, const std::string& who = "");  // sends nothing, heartbeats included
+  void set_reading_paused(bool deaf, const std::string& who = "");  // reads nothing: answers and acks pile up
+  void set_writing_paused(bool mute, const std::string& who = "");  // sends nothing, heartbeats included
   void close_channels(amqp::ReplyCode code, const std::string& text, const std::string& who = "");
   void cancel_consumers(const std::string& who = "");
   // All connections end and nothing listens until restart(). Durable messages survive, as on a disk; what was
@@ -47,11 +47,11 @@
   void crash();
   bool restart();
   // Breaks the connection in place of the next n commit-ok: committed, but the client does not know.
-  void lose_commits(int n) { lose_commit_ok_ = n; }
+  void drop_commit_replies(int n) { lose_commit_ok_ = n; }
   // Breaks the connection when the next n commits arrive, before they are done.
-  void refuse_commits(int n) { lose_commit_ = n; }
+  void drop_commits(int n) { lose_commit_ = n; }
   void set_flow(bool active);
-  void drop(const std::string& queue) { drop_queue(queue); }
+  void delete_queue(const std::string& queue) { remove_queue(queue); }
 
  private:
   class Connection;
@@ -100,7 +100,7 @@
   bool publish(std::shared_ptr<const Message> message, const std::string& by);  // false: no queue took it
   void pump(Queue& queue);
   void requeue(const std::string& queue, Entry entry);
-  void drop_queue(const std::string& name);
+  void remove_queue(const std::string& name);
   void remove_consumer(const std::shared_ptr<Consumer>& consumer);
   template <class F>
   void each(const std::string& who, F what);
--- a/src/standin/day.cpp
+++ b/src/standin/day.cpp
@@ -323,7 +323,7 @@
   return day;
 }
 
-std::string faster(std::string_view text, double times) {
+std::string scale_day_speed(std::string_view text, double times) {
   toml::parse_result parsed = toml::parse(text);
   if (!parsed) return std::string(text);
   toml::table& root = parsed.table();
@@ -367,11 +367,11 @@
 }
 
 void script_worker(Script& script, const Day& day, std::uint32_t id, Worker& worker, const io::Address& at) {
-  const bool successor = id >= Day::kSuccessor;
+  const bool successor = id >= Day::kSuccessorIdOffset;
   for (const Trouble& t : day.troubles) {
     const Duration end = t.at + t.length;
     if (successor) {
-      const auto turn = day.turn(t, id - Day::kSuccessor);
+      const auto turn = day.turn(t, id - Day::kSuccessorIdOffset);
       if (turn && (t.kind == TroubleKind::kDeploy || t.kind == TroubleKind::kPreempt))
         script.add(*turn, [&worker, at] { worker.start(at, true); });
       continue;
@@ -384,7 +384,7 @@
         script.add(end, [&worker, at] { worker.start(at, true); });
         break;
       case TroubleKind::kVanish:
-        script.add(t.at, [&worker] { worker.set_silent(true); });
+        script.add(t.at, [&worker] { worker.set_unresponsive(true); });
         script.add(end, [&worker, at] { worker.crash(), worker.start(at, true); });
         break;
       case TroubleKind::kDeploy:
@@ -396,14 +396,14 @@
         break;
       }
       case TroubleKind::kSlow:
-        script.add(t.at, [&worker, t] { worker.set_slow(t.size); });
-        script.add(end, [&worker] { worker.set_slow(1); });
+        script.add(t.at, [&worker, t] { worker.set_slowdown(t.size); });
+        script.add(end, [&worker] { worker.set_slowdown(1); });
         break;
       case TroubleKind::kAgeing: {
         constexpr int kSteps = 10;
         for (int i = 1; i <= kSteps; ++i)
           script.add(t.at + t.length * i / kSteps,
-                     [&worker, f = 1 + (t.size - 1) * i / kSteps] { worker.set_slow(f); });
+                     [&worker, f = 1 + (t.size - 1) * i / kSteps] { worker.set_slowdown(f); });
         break;
       }
       case TroubleKind::kThrottle:
@@ -414,8 +414,8 @@
         const auto pause =
             std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(t.size));
         for (Duration p = t.at; p < end; p += 1500ms) {
-          script.add(p, [&worker] { worker.set_silent(true); });
-          script.add(p + pause, [&worker] { worker.set_silent(false); });
+          script.add(p, [&worker] { worker.set_unresponsive(true); });
+          script.add(p + pause, [&worker] { worker.set_unresponsive(false); });
         }
         break;
       }
@@ -423,7 +423,7 @@
         script.add(t.at, [&worker, t] { worker.fail_class(t.request_class, true); });
         script.add(end, [&worker, t] { worker.fail_class(t.request_class, false); });
         break;
-      case TroubleKind::kFlush: script.add(t.at, [&worker] { worker.void_copies(); }); break;
+      case TroubleKind::kFlush: script.add(t.at, [&worker] { worker.discard_instances(); }); break;
       case TroubleKind::kFull:
         script.add(t.at, [&worker] { worker.set_full(true); });
         script.add(end, [&worker] { worker.set_full(false); });
@@ -433,13 +433,15 @@
         script.add(end, [&worker] { worker.set_load_fails(false); });
         break;
       case TroubleKind::kReset:
-        script.add_every(t.at, end, 500ms, [&worker] { worker.reset_answers(1), worker.take_and_reset(1); });
+        script.add_every(t.at, end, 500ms,
+                         [&worker] { worker.reset_answers(1), worker.reset_after_calls(1); });
         break;
       case TroubleKind::kLateAnswer:
-        script.add_every(t.at, end, 300ms, [&worker] { worker.answer_late(1, 4s); });
+        script.add_every(t.at, end, 300ms, [&worker] { worker.delay_answers(1, 4s); });
         break;
       case TroubleKind::kTwice:
-        script.add_every(t.at, end, 300ms, [&worker] { worker.answer_twice(2), worker.answer_ghosts(1); });
+        script.add_every(t.at, end, 300ms,
+                         [&worker] { worker.duplicate_answers(2), worker.send_unknown_answers(1); });
         break;
       default: break;
     }
@@ -449,7 +451,7 @@
 void script_list(Script& script, const Day& day, ListService& list, io::Host& host,
                  const std::function<io::Address(std::uint32_t)>& address_of) {
   auto member = [&day, address_of](std::uint32_t id) {
-    const std::uint32_t old = id >= Day::kSuccessor ? id - Day::kSuccessor : id;
+    const std::uint32_t old = id >= Day::kSuccessorIdOffset ? id - Day::kSuccessorIdOffset : id;
     members::Member m;
     m.id = id, m.address = address_of(id), m.zone = "room", m.kind = "std",
     m.cell = "rack-" + std::to_string(old % day.racks);
@@ -484,7 +486,7 @@
           m.state = WorkerState::kDraining;
           list.set(m);
         });
-        script.add(turn + 50ms, [born, id] { born(id + Day::kSuccessor); });
+        script.add(turn + 50ms, [born, id] { born(id + Day::kSuccessorIdOffset); });
         script.add(turn + 5s, [&list, id] { list.remove(id); });
       } else if (t.kind == TroubleKind::kListDrain) {
         // The worker itself says nothing and would take all: only the list keeps calls away.
@@ -517,8 +519,8 @@
           script.add(t.at, [&broker, who] { broker.break_connections(who); });
           break;
         case TroubleKind::kBrokerDeaf:
-          script.add(t.at, [&broker, who] { broker.set_deaf(true, who); });
-          script.add(t.at + t.length, [&broker, who] { broker.set_deaf(false, who); });
+          script.add(t.at, [&broker, who] { broker.set_reading_paused(true, who); });
+          script.add(t.at + t.length, [&broker, who] { broker.set_reading_paused(false, who); });
           break;
         case TroubleKind::kChannelClose:
           script.add(t.at, [&broker, who] {
@@ -533,8 +535,8 @@
 void script_store(Script& script, const Day& day, Store& store) {
   for (const Trouble& t : day.troubles)
     if (t.kind == TroubleKind::kOriginSlow) {
-      script.add(t.at, [&store, t] { store.set_slow(t.size); });
-      script.add(t.at + t.length, [&store] { store.set_slow(1); });
+      script.add(t.at, [&store, t] { store.set_slowdown(t.size); });
+      script.add(t.at + t.length, [&store] { store.set_slowdown(1); });
     }
 }
 
@@ -562,8 +564,8 @@
 
 }  // namespace
 
-void publish_all(const Day& day, Registry& registry, std::uint64_t release, double changed, Tape& tape,
-                 Time at) {
+void publish_functions(const Day& day, Registry& registry, std::uint64_t release, double changed, Tape& tape,
+                       Time at) {
   std::vector<double> changes;  // of the releases up to this one
   for (const Trouble& t : day.troubles)
     if (t.kind == TroubleKind::kRelease && changes.size() + 1 < release) changes.push_back(t.size);
@@ -595,13 +597,13 @@
   std::uint64_t release = 1;
   for (const Trouble& t : day.troubles) {
     if (t.kind == TroubleKind::kOriginSlow) {
-      script.add(t.at, [&registry, t] { registry.set_slow(t.size); });
-      script.add(t.at + t.length, [&registry] { registry.set_slow(1); });
+      script.add(t.at, [&registry, t] { registry.set_slowdown(t.size); });
+      script.add(t.at + t.length, [&registry] { registry.set_slowdown(1); });
     }
     if (t.kind != TroubleKind::kRelease) continue;
     ++release;
     script.add(t.at, [&day, &registry, &host, &tape, release, size = t.size] {
-      publish_all(day, registry, release, size, tape, host.now());
+      publish_functions(day, registry, release, size, tape, host.now());
     });
   }
 }
--- a/src/standin/day.h
+++ b/src/standin/day.h
@@ -103,7 +103,7 @@
   std::string function(const DayClass& c, int i) const { return c.name + "-" + std::to_string(i); }
   WorkerOptions worker_options(std::uint32_t id) const;
   // Successors of a rolling deploy have ids from here: old id + successor_of.
-  static constexpr std::uint32_t kSuccessor = 1000;
+  static constexpr std::uint32_t kSuccessorIdOffset = 1000;
   bool has_successor(std::uint32_t worker) const;
   // When, within a deploy, this worker's turn to drain comes.
   std::optional<Duration> turn(const Trouble& deploy, std::uint32_t worker) const;
@@ -113,7 +113,7 @@
 std::optional<Day> parse_day(std::string_view toml, const std::string& file,
                              std::vector<std::string>& problems);
 // The same day with its troubles and traffic `times` as fast; patience, work and loads stay as they are.
-std::string faster(std::string_view toml, double times);
+std::string scale_day_speed(std::string_view toml, double times);
 std::optional<Day> load_day(const std::string& file, std::vector<std::string>& problems);
 
 // What a stand-in process does at a time of the day.
@@ -145,8 +145,8 @@
 void script_store(Script& script, const Day& day, Store& store);
 class Registry;
 // Publishes the first release of every function; later ones come with the day's troubles.
-void publish_all(const Day& day, Registry& registry, std::uint64_t release, double changed, Tape& tape,
-                 Time at);
+void publish_functions(const Day& day, Registry& registry, std::uint64_t release, double changed, Tape& tape,
+                       Time at);
 void script_registry(Script& script, const Day& day, Registry& registry, io::Host& host, Tape& tape);
 
 }  // namespace laureltide::standin
--- a/src/standin/invoker.cpp
+++ b/src/standin/http_caller.cpp
@@ -1,15 +1,15 @@
-#include "standin/invoker.h"
+#include "standin/http_caller.h"
 
 namespace laureltide::standin {
 
 constexpr Duration kBeyondPatience =
     std::chrono::seconds(30);  // a client that is owed an answer keeps asking
 
-Invoker::Invoker(io::Host& host, InvokerOptions options, Tape& tape)
+HttpCaller::HttpCaller(io::Host& host, HttpCallerOptions options, Tape& tape)
     : host_(host), options_(std::move(options)), tape_(tape), dead_(host), dead_exchanges_(host) {}
-Invoker::~Invoker() = default;
+HttpCaller::~HttpCaller() = default;
 
-void Invoker::call(const CallToMake& c) {
+void HttpCaller::call(const CallToMake& c) {
   auto& open = open_[c.name];
   open = std::make_unique<Open>();
   open->call = c;
@@ -27,7 +27,7 @@
   send(c.name);
 }
 
-void Invoker::send(const std::string& name) {
+void HttpCaller::send(const std::string& name) {
   const auto it = open_.find(name);
   if (it == open_.end()) return;
   Open& open = *it->second;
@@ -53,7 +53,7 @@
   ask(name, std::move(request), options_.gateways[open.gateway % options_.gateways.size()]);
 }
 
-void Invoker::ask(const std::string& name, http::Request request, const io::Address& to) {
+void HttpCaller::ask(const std::string& name, http::Request request, const io::Address& to) {
   Open& open = *open_.at(name);
   ++open.tries;
   if (request.method == "POST" && !open.again_asked) {
@@ -86,7 +86,7 @@
       });
 }
 
-void Invoker::later(Open& open) {
+void HttpCaller::later(Open& open) {
   if (host_.now() > open.until || open.tries >= options_.tries) {
     tape_.note(host_.now(), "gave_up", {{"call", open.call.name}});
     return;
@@ -94,7 +94,7 @@
   open.again->start(options_.pause);
 }
 
-void Invoker::on_result(const std::string& name, http::Exchange::Result result) {
+void HttpCaller::on_result(const std::string& name, http::Exchange::Result result) {
   Open& open = *open_.at(name);
   // Workers know the call by the gateway's id for it.
   if (const std::string* id = result.headers.find("Call-Id"))
--- a/src/standin/invoker.h
+++ b/src/standin/http_caller.h
@@ -12,7 +12,7 @@
 
 namespace laureltide::standin {
 
-struct InvokerOptions {
+struct HttpCallerOptions {
   std::vector<io::Address> gateways;          // calls go to them in turn, and repeats to the next
   std::vector<std::string> names;             // of the gateways, for the tape
   std::map<std::string, std::string> tokens;  // by tenant; that of "" serves calls without one
@@ -22,10 +22,10 @@
   double repeat = 0;      // the part of answered calls that is asked for once more under its key
 };
 
-class Invoker {
+class HttpCaller {
  public:
-  Invoker(io::Host& host, InvokerOptions options, Tape& tape);
-  ~Invoker();
+  HttpCaller(io::Host& host, HttpCallerOptions options, Tape& tape);
+  ~HttpCaller();
   void call(const CallToMake& call);
   std::function<void(const std::string& call, const Caller::Answered&)> on_answer;
   std::size_t open() const { return open_.size(); }
@@ -48,7 +48,7 @@
   void later(Open& open);
 
   io::Host& host_;
-  InvokerOptions options_;
+  HttpCallerOptions options_;
   Tape& tape_;
   std::size_t turn_ = 0;
   std::map<std::string, std::unique_ptr<Open>> open_;
--- a/src/standin/list.cpp
+++ b/src/standin/list.cpp
@@ -102,14 +102,14 @@
   push(u);
 }
 
-void ListService::send_old(std::uint64_t back) {
+void ListService::send_outdated_list(std::uint64_t back) {
   members::Update u = full();
   u.version = u.version > back ? u.version - back : 0;
   u.members.clear();  // an old list that knows of nobody
   for (auto& [raw, client] : clients_) client->write(members::write_update(u) + "\n");
 }
 
-void ListService::rebirth() {
+void ListService::begin_new_epoch() {
   epoch_ = std::max(host_.unix_ms(), epoch_ + 1);
   version_ = told_version_ = 1;
   told_ = members_;
--- a/src/standin/list.h
+++ b/src/standin/list.h
@@ -22,9 +22,9 @@
   void set(const members::Member& member);
   void remove(std::uint32_t id);
   void set_lag(Duration lag) { lag_ = lag; }
-  void skip_version() { ++version_; }  // the next change builds on one that nobody was sent
-  void send_old(std::uint64_t back);   // a full list of an earlier version
-  void rebirth();                      // a new life of the service that counts from 1
+  void skip_version() { ++version_; }           // the next change builds on one that nobody was sent
+  void send_outdated_list(std::uint64_t back);  // a full list of an earlier version
+  void begin_new_epoch();                       // a new life of the service that counts from 1
   void send_raw(std::string_view line);
 
  private:
--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -111,7 +111,7 @@
   copies_.clear();
 }
 
-int PlatformInvoker::copies(const std::string& function) const {
+int PlatformInvoker::instances(const std::string& function) const {
   const auto it = copies_.find(function);
   return it == copies_.end() ? 0 : it->second;
 }
@@ -127,8 +127,8 @@
   switch (code) {
     case 65: return take_call(session, id, fields, std::move(body));
     case 66:
-      for (Seen& call : calls_)
-        if (call.id == id) call.given_up = true;
+      for (ReceivedCall& call : calls_)
+        if (call.id == id) call.cancelled = true;
       return;
     case 67:
     case 68:
@@ -141,15 +141,15 @@
       const int wanted = std::atoi(value_of(fields, "units").c_str());
       if (draining_ && wanted > 0) {
         sent_while_draining_.push_back({host_.now(), code});
-        return answer(to(), kFull, id, "units=" + std::to_string(copies(function)), "");
+        return answer(to(), kFull, id, "units=" + std::to_string(instances(function)), "");
       }
       int all = 0;
       for (const auto& [name, n] : copies_) all += n;
-      const int more = std::max(0, wanted - copies(function));
+      const int more = std::max(0, wanted - instances(function));
       const bool room = all + more <= options_.room;
       return later(more > 0 && room ? options_.load : Duration(0), [this, to, id, function, more, room] {
         if (room) copies_[function] += more;
-        answer(to(), room ? 97 : 100, id, "units=" + std::to_string(copies(function)), "");
+        answer(to(), room ? 97 : 100, id, "units=" + std::to_string(instances(function)), "");
       });
     }
     case 71: ++unloads_; return;
@@ -164,7 +164,8 @@
 
 void PlatformInvoker::take_call(Session& session, std::uint64_t id, const std::string& fields,
                                 std::string body) {
-  const bool first = std::none_of(calls_.begin(), calls_.end(), [&](const Seen& s) { return s.id == id; });
+  const bool first =
+      std::none_of(calls_.begin(), calls_.end(), [&](const ReceivedCall& s) { return s.id == id; });
   calls_.push_back({id, fields, std::move(body), false, false, host_.now()});
   const std::size_t place = calls_.size() - 1;
   copy_earlier(id);
@@ -175,11 +176,11 @@
   if (only_ != 0) return answer(&session, only_, id, "", "");
   if (refuse_first_ != 0 && first) return answer(&session, refuse_first_, id, "", "");
   if (refuse_some_ != 0 && chance() < refused_share_) return answer(&session, refuse_some_, id, "", "");
-  if (copies(value_of(fields, "k")) == 0) return answer(&session, kMiss, id, "", "");
+  if (instances(value_of(fields, "k")) == 0) return answer(&session, kMiss, id, "", "");
   calls_[place].ran = true;
   const std::string load = options_.load_report.empty() ? "" : ",load=" + options_.load_report;
   later(options_.run, [this, number = session.number, id, place, load] {
-    if (!calls_[place].given_up)
+    if (!calls_[place].cancelled)
       answer(this->session(number), kOk, id, "ahead=2" + load, "answer to " + calls_[place].body);
   });
 }
@@ -212,29 +213,31 @@
 void PlatformInvoker::answer(Session* session, std::uint8_t code, std::uint64_t id, std::string fields,
                              std::string body) {
   if (!session || !session->connection) return;
-  Spoil how = Spoil::kNone;
+  InjectedFault how = InjectedFault::kNone;
   if (code == 97 && !body.empty() && !spoils_.empty()) how = spoils_.front(), spoils_.pop_front();
   io::Connection& out = *session->connection;
   session->used_at = host_.now();
   std::string bytes = frame(code, id, fields, body);
   switch (how) {
-    case Spoil::kNone:
+    case InjectedFault::kNone:
       if (copy_at_next_attempt_ && code != kOk) refused_.emplace(id, Refused{session->number, bytes});
       out.write(bytes);
       return copy_later(*session, std::move(bytes));
-    case Spoil::kCheck: bytes.back() = static_cast<char>(bytes.back() ^ 1); return out.write(bytes);
-    case Spoil::kMark: return out.write("HTTP/1.1 200 OK\r\n\r\n");
-    case Spoil::kHuge: {
+    case InjectedFault::kBadChecksum:
+      bytes.back() = static_cast<char>(bytes.back() ^ 1);
+      return out.write(bytes);
+    case InjectedFault::kBadMagic: return out.write("HTTP/1.1 200 OK\r\n\r\n");
+    case InjectedFault::kOversized: {
       std::string head;
       Writer w(head);
       w.u8(kOurs), w.u8(97), w.u16(0), w.u32(3'000'000'000U), w.u64(id);
       return out.write(head + std::string(100'000, 'x'));
     }
-    case Spoil::kBreakOff: out.write(bytes.substr(0, bytes.size() / 2)); return out.finish();
-    case Spoil::kSilent: return;
-    case Spoil::kReset: return session->connection.reset();
-    case Spoil::kTwice: return out.write(bytes + bytes);
-    case Spoil::kUnknownFirst: return out.write(frame(97, id ^ 0xffff, "", "nobody's") + bytes);
+    case InjectedFault::kTruncated: out.write(bytes.substr(0, bytes.size() / 2)); return out.finish();
+    case InjectedFault::kNoAnswer: return;
+    case InjectedFault::kReset: return session->connection.reset();
+    case InjectedFault::kDuplicate: return out.write(bytes + bytes);
+    case InjectedFault::kUnknownIdFirst: return out.write(frame(97, id ^ 0xffff, "", "nobody's") + bytes);
   }
 }
 
@@ -329,14 +332,14 @@
   for (const auto& s : sessions_) s->connection.reset(), s->following = false;
 }
 
-std::uint64_t PlatformBus::tell(const std::vector<PlatformMember>& members) {
-  return tell_as_it_is(platform_event(events_.size() + 1, events_.empty(), members));
+std::uint64_t PlatformBus::publish(const std::vector<PlatformMember>& members) {
+  return publish_raw(platform_event(events_.size() + 1, events_.empty(), members));
 }
-std::uint64_t PlatformBus::tell_whole(const std::vector<PlatformMember>& members) {
-  return tell_as_it_is(platform_event(events_.size() + 1, true, members));
+std::uint64_t PlatformBus::publish_full_list(const std::vector<PlatformMember>& members) {
+  return publish_raw(platform_event(events_.size() + 1, true, members));
 }
 
-std::uint64_t PlatformBus::tell_as_it_is(std::string event) {
+std::uint64_t PlatformBus::publish_raw(std::string event) {
   events_.push_back(std::move(event));
   for (const auto& s : sessions_)
     if (s->connection && s->following && !silent_ && outage_ == Outage::kNone) send(*s, events_.size());
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -17,29 +17,29 @@
 
 // ---- Invoker ------------------------------------------------------------------------------------------
 
-enum class Spoil {
+enum class InjectedFault {
   kNone,
-  kCheck,        // a check that does not fit
-  kMark,         // noise instead of a head
-  kHuge,         // a head that says 3 GB, and noise behind it without end
-  kBreakOff,     // half an answer, then reset
-  kSilent,       // ran, and never answers
-  kReset,        // ran, then the connection is reset
-  kTwice,        // a good answer and a copy
-  kUnknownFirst  // an answer under another id ahead of the good one
+  kBadChecksum,    // a check that does not fit
+  kBadMagic,       // noise instead of a head
+  kOversized,      // a head that says 3 GB, and noise behind it without end
+  kTruncated,      // half an answer, then reset
+  kNoAnswer,       // ran, and never answers
+  kReset,          // ran, then the connection is reset
+  kDuplicate,      // a good answer and a copy
+  kUnknownIdFirst  // an answer under another id ahead of the good one
 };
 
 class PlatformInvoker {
  public:
-  struct Seen {
+  struct ReceivedCall {
     std::uint64_t id = 0;
     std::string fields, body;
-    bool given_up = false;
+    bool cancelled = false;
     bool ran = false;  // it began: its effect may have happened
     Time at{};
   };
   // How often what is answered comes a second time, on the same connection, and how much later.
-  struct Copies {
+  struct Duplicates {
     double share = 0;
     Duration least{}, most{};
   };
@@ -56,7 +56,7 @@
   bool start();
   void stop();  // refuses connections, resets those open
   io::Address address() const { return listener_->address(); }
-  void spoil_next(Spoil how, int times = 1) {
+  void inject_fault(InjectedFault how, int times = 1) {
     spoils_.insert(spoils_.end(), static_cast<std::size_t>(times), how);
   }
   void answer_all(std::uint8_t code) { only_ = code; }  // 0: as usual
@@ -64,10 +64,10 @@
   void refuse_first(std::uint8_t code) { refuse_first_ = code; }
   // This share of calls gets this answer, by chance.
   void refuse_some(std::uint8_t code, double share) { refuse_some_ = code, refused_share_ = share; }
-  void send_copies(const Copies& copies) { copies_sent_as_ = copies; }
+  void send_duplicates(const Duplicates& instances) { copies_sent_as_ = instances; }
   // When a call comes again, what it got before comes again at once on the connection that brought it.
-  void copy_at_next_attempt(bool on) { copy_at_next_attempt_ = on; }
-  std::size_t copies_sent() const { return copies_sent_; }
+  void duplicate_at_next_attempt(bool on) { copy_at_next_attempt_ = on; }
+  std::size_t duplicates_sent() const { return copies_sent_; }
   void seed(std::uint64_t value) { random_.seed(value); }
   // Draining, it finishes what it has, turns away new calls and orders to load (100) and calls itself unwell
   // to probes (104); an order for 0 copies gets its usual answer.
@@ -78,14 +78,14 @@
   };
   const std::vector<SentWhileDraining>& sent_while_draining() const { return sent_while_draining_; }
   // A connection that rested for longer is reset by the next frame on it, which is not read.
-  void reset_rested(Duration after) { reset_rested_ = after; }
-  const std::vector<Seen>& calls() const { return calls_; }
+  void reset_idle_connections(Duration after) { reset_rested_ = after; }
+  const std::vector<ReceivedCall>& calls() const { return calls_; }
   std::size_t orders() const { return orders_; }
   std::size_t probes() const { return probes_; }
   std::size_t unloads() const { return unloads_; }
   std::size_t connections() const { return sessions_.size(); }
   std::size_t connections_made() const { return next_session_ - 1; }
-  int copies(const std::string& function) const;
+  int instances(const std::string& function) const;
 
  private:
   class Session;
@@ -105,10 +105,10 @@
   std::vector<std::unique_ptr<Session>> dead_;
   std::vector<std::unique_ptr<io::Timer>> timers_;
   std::uint64_t next_session_ = 1;
-  std::deque<Spoil> spoils_;
+  std::deque<InjectedFault> spoils_;
   std::uint8_t only_ = 0, refuse_first_ = 0, refuse_some_ = 0;
   double refused_share_ = 0;
-  Copies copies_sent_as_;
+  Duplicates copies_sent_as_;
   bool copy_at_next_attempt_ = false;
   struct Refused {
     std::uint64_t session = 0;
@@ -121,7 +121,7 @@
   bool draining_ = false;
   std::vector<SentWhileDraining> sent_while_draining_;
   std::map<std::string, int> copies_;
-  std::vector<Seen> calls_;
+  std::vector<ReceivedCall> calls_;
   std::size_t orders_ = 0, probes_ = 0, unloads_ = 0;
 };
 
@@ -144,21 +144,21 @@
   void stop();  // refuses connections, breaks those open
   io::Address address() const { return address_; }
   // Tells a change; the first event holds the whole list.
-  std::uint64_t tell(const std::vector<PlatformMember>& members);
-  std::uint64_t tell_whole(const std::vector<PlatformMember>& members);
-  std::uint64_t tell_as_it_is(std::string event);
-  void spoil(std::uint64_t offset, std::string event) { events_[offset - 1] = std::move(event); }
-  void mute_next(int connections) { mute_ = connections; }  // these are asked and say nothing
+  std::uint64_t publish(const std::vector<PlatformMember>& members);
+  std::uint64_t publish_full_list(const std::vector<PlatformMember>& members);
+  std::uint64_t publish_raw(std::string event);
+  void replace_event(std::uint64_t offset, std::string event) { events_[offset - 1] = std::move(event); }
+  void ignore_next_requests(int connections) { mute_ = connections; }  // these are asked and say nothing
   void set_silent(bool on) { silent_ = on; }
   // Connections stand and are accepted, and bring no event: after the head nothing, or bytes without end that
   // never make a line. The end of an outage ends its connections.
   enum class Outage { kNone, kSilent, kDripping };
   void set_outage(Outage outage);
   void set_answer_after(Duration delay) { answer_after_ = delay; }  // a crowded bus answers late
-  void set_doubles(bool on) { doubles_ = on; }
+  void set_duplicate_events(bool on) { doubles_ = on; }
   // Is left out; `healed`: not when all events are asked for.
   void set_skip(std::uint64_t offset, bool healed = false) { skip_ = offset, healed_ = healed; }
-  void break_in_event() { break_next_ = true; }  // half of the next one, then the end
+  void truncate_next_event() { break_next_ = true; }  // half of the next one, then the end
   std::size_t asked() const { return asked_; }
   std::uint64_t last_asked_from() const { return last_from_; }
   std::string known() const;  // as a configuration holds it
@@ -197,7 +197,7 @@
   void cancel(std::int32_t number);
   void health();
   void raw(std::string_view bytes);
-  void hang_up() { connection_.reset(); }
+  void disconnect() { connection_.reset(); }
   // Bytes of a call under any number, for what a client in order never sends.
   static std::string call_bytes(std::int32_t number, const std::map<std::string, std::string>& fields,
                                 const std::string& body);
--- a/src/standin/registry.h
+++ b/src/standin/registry.h
@@ -36,10 +36,10 @@
   // ---- Content, without a client ----
   std::string put_blob(const std::string& repository, std::string bytes);  // its digest
   std::string put_manifest(const std::string& repository, const std::string& tag, std::string bytes);
-  void drop_blob(const std::string& digest) { blobs_.erase(digest); }
+  void delete_blob(const std::string& digest) { blobs_.erase(digest); }
 
   // ---- Faults. Of blobs and manifests alike, unless said otherwise ----
-  void set_slow(double times) { slow_ = times; }
+  void set_slowdown(double times) { slow_ = times; }
   // The next n answers; `digest`: only of that blob. n < 0: for ever.
   struct Fault {
     enum class Kind {
@@ -66,7 +66,7 @@
   // How often each byte range of a blob was sent whole to whom: "who digest from-to".
   const std::map<std::string, int>& ranges() const { return ranges_; }
   std::size_t in_hand() const { return in_hand_; }
-  std::size_t most_in_hand() const { return most_in_hand_; }
+  std::size_t max_in_flight() const { return most_in_hand_; }
 
  private:
   class Client;
--- a/src/standin/store.h
+++ b/src/standin/store.h
@@ -23,7 +23,7 @@
   ~Store();
   bool listen(const io::Address& at);
   io::Address address() const { return listener_->address(); }
-  void set_slow(double times) { slow_ = times; }
+  void set_slowdown(double times) { slow_ = times; }
   std::uint64_t fetches() const { return fetches_; }
 
  private:
--- a/src/standin/worker.cpp
+++ b/src/standin/worker.cpp
@@ -64,7 +64,7 @@
 void Worker::crash() {
   if (!listener_) return;
   unsaid_.clear();
-  if (silent_) set_silent(false);
+  if (silent_) set_unresponsive(false);
   tape_.note(host_.now(), "crashed", {{"worker", options_.id}});
   ++life_;
   listener_.reset();
@@ -78,7 +78,7 @@
   }
 }
 
-void Worker::set_silent(bool on) {
+void Worker::set_unresponsive(bool on) {
   if (silent_ == on) return;
   tape_.note(host_.now(), "silent", {{"worker", options_.id}, {"on", on}});
   silent_ = on;
@@ -88,7 +88,7 @@
     if (sessions_.contains(session)) session->send(message);
 }
 
-void Worker::void_copies() {
+void Worker::discard_instances() {
   tape_.note(host_.now(), "flushed", {{"worker", options_.id}});
   for (auto& [name, pool] : pools_) {
     if (pool.running > 0)
@@ -317,7 +317,7 @@
 
 // ---- Copies ---------------------------------------------------------------------------------------------
 
-int Worker::copies(const std::string& function) const {
+int Worker::instances(const std::string& function) const {
   const auto it = pools_.find(function);
   return it == pools_.end() ? 0 : it->second.ready;
 }
--- a/src/standin/worker.h
+++ b/src/standin/worker.h
@@ -57,26 +57,26 @@
   std::uint64_t runs() const { return runs_; }
   std::size_t holding() const { return jobs_.size(); }
   std::size_t sessions() const { return sessions_.size(); }
-  int copies(const std::string& function) const;
+  int instances(const std::string& function) const;
 
   // ---- Faults ----
-  void crash();              // all connections reset, all copies gone, nothing listens
-  void set_silent(bool on);  // hears and says nothing; nothing is reset
-  void set_slow(double times) { slow_ = times; }
+  void crash();                    // all connections reset, all copies gone, nothing listens
+  void set_unresponsive(bool on);  // hears and says nothing; nothing is reset
+  void set_slowdown(double times) { slow_ = times; }
   void set_cores(int cores) { cores_ = std::max(1, cores), start_waiting(); }
   void set_full(bool on) { full_ = on; }
   void set_load_fails(bool on) { load_fails_ = on; }
   void fail_class(const std::string& name, bool on) {
     on ? void(failing_.insert(name)) : void(failing_.erase(name));
   }
-  void void_copies();  // a re-release: idle copies go, busy ones when they are done
-  void drain();        // says so to all; takes nothing more
+  void discard_instances();  // a re-release: idle copies go, busy ones when they are done
+  void drain();              // says so to all; takes nothing more
   void reset_answers(int n) { reset_answers_ = n; }  // the next n answers break off half way
-  void answer_twice(int n) { twice_ = n; }
-  void answer_late(int n, Duration by) { late_ = n, late_by_ = by; }
-  void answer_ghosts(int n) { ghosts_ = n; }           // with the next n answers one to a call never sent
-  void take_and_reset(int n) { take_and_reset_ = n; }  // takes the next n calls, runs them, resets
-  void forget_keys_after(Duration window) { key_window_ = window; }
+  void duplicate_answers(int n) { twice_ = n; }
+  void delay_answers(int n, Duration by) { late_ = n, late_by_ = by; }
+  void send_unknown_answers(int n) { ghosts_ = n; }       // with the next n answers one to a call never sent
+  void reset_after_calls(int n) { take_and_reset_ = n; }  // takes the next n calls, runs them, resets
+  void set_deduplication_window(Duration window) { key_window_ = window; }
 
   // ---- worker::SessionEvents ----
   void on_hello(worker::Session& session, const worker::Hello& hello) override;
--- a/tests/apps/call_run_twice_test.cpp
+++ b/tests/apps/call_run_twice_test.cpp
@@ -55,7 +55,7 @@
       ASSERT_TRUE(workers.back()->start());
       members.push_back({"s-" + std::to_string(i), workers.back()->address(), "active", 0, 0});
     }
-    bus.tell(members);
+    bus.publish(members);
     json doc = node::tests::config();
     doc["bus"] = bus.address().text();
     doc["limits"]["sockets"] = sockets;
@@ -115,9 +115,9 @@
     for (const auto& node : nodes) all += node->log();
     return all;
   }
-  std::size_t copies_sent() const {
+  std::size_t duplicates_sent() const {
     std::size_t n = 0;
-    for (const auto& worker : workers) n += worker->copies_sent();
+    for (const auto& worker : workers) n += worker->duplicates_sent();
     return n;
   }
 
@@ -126,7 +126,7 @@
     ASSERT_TRUE(all_answered()) << logs();
     std::map<std::uint64_t, int> runs;
     for (const auto& worker : workers)
-      for (const PlatformInvoker::Seen& seen : worker->calls()) runs[seen.id] += seen.ran;
+      for (const PlatformInvoker::ReceivedCall& seen : worker->calls()) runs[seen.id] += seen.ran;
     std::size_t twice = 0, refused_though_run = 0, two_answers = 0, served = 0;
     for (const auto& [id, call] : sent) {
       const std::string kind = reply(call)->kind;
@@ -140,10 +140,10 @@
     EXPECT_EQ(refused_though_run, 0U) << logs();
     EXPECT_EQ(two_answers, 0U) << logs();
     EXPECT_GE(static_cast<double>(served), least_served * static_cast<double>(sent.size())) << logs();
-    EXPECT_GT(copies_sent(), 0U);
+    EXPECT_GT(duplicates_sent(), 0U);
     RecordProperty("calls", static_cast<int>(sent.size()));
     RecordProperty("served", static_cast<int>(served));
-    RecordProperty("copies", static_cast<int>(copies_sent()));
+    RecordProperty("copies", static_cast<int>(duplicates_sent()));
   }
 };
 
@@ -154,7 +154,7 @@
   ASSERT_NO_FATAL_FAILURE(start(1, 1));
   load(4);
   workers[0]->refuse_first(GetParam());
-  workers[0]->copy_at_next_attempt(true);
+  workers[0]->duplicate_at_next_attempt(true);
   for (std::uint64_t n = 0; n < 40; ++n) {
     call(*clients[0], true, kFirstFunction + n % 4);
     ::laureltide::tests::run_for(loop, 25ms);
@@ -175,7 +175,7 @@
   ASSERT_NO_FATAL_FAILURE(start(3, 2, 64));
   for (const auto& worker : workers) {
     worker->refuse_some(kMiss, 0.3);
-    worker->send_copies({0.5, 300us, 450ms});
+    worker->send_duplicates({0.5, 300us, 450ms});
   }
   std::uint64_t n = 0;
   for (const Time end = loop.now() + 4s; loop.now() < end;) {
--- a/tests/apps/discovery_outage_test.cpp
+++ b/tests/apps/discovery_outage_test.cpp
@@ -69,7 +69,7 @@
       ASSERT_TRUE(workers.back()->start());
       members.push_back({"s-" + std::to_string(i), workers.back()->address(), "active", 0, 0});
     }
-    bus.tell(members);
+    bus.publish(members);
     json doc = node::tests::config();
     doc["bus"] = bus.address().text();
     json& settings = doc["settings"];
@@ -125,7 +125,7 @@
     const auto place = static_cast<std::size_t>(worker);
     workers[place]->set_draining(true);
     drained_at[place] = loop.now();
-    bus.tell({{"s-" + std::to_string(worker), workers[place]->address(), "leaving", 0, 0}});
+    bus.publish({{"s-" + std::to_string(worker), workers[place]->address(), "leaving", 0, 0}});
   }
   void begin_outage() {
     switch (GetParam().kind) {
--- a/tests/apps/node_program_test.cpp
+++ b/tests/apps/node_program_test.cpp
@@ -38,7 +38,7 @@
 
   NodeProgram() {
     bus.start(), invoker.start();
-    bus.tell({{"s-1", invoker.address(), "active", 0, 0}});
+    bus.publish({{"s-1", invoker.address(), "active", 0, 0}});
     doc["listen"] = at.text();
     doc["bus"] = bus.address().text();
     doc["known"] = json::parse(bus.known());
@@ -195,7 +195,7 @@
   PlatformInvoker fresh(loop, {{"127.0.0.1", 0}, 1ms, 1ms, 64, {}});
   fresh.start();
   const std::size_t asked = bus.asked();
-  bus.tell({{"s-1", invoker.address(), "left", 0, 0}, {"s-2", fresh.address(), "active", 0, 0}});
+  bus.publish({{"s-1", invoker.address(), "left", 0, 0}, {"s-2", fresh.address(), "active", 0, 0}});
   ASSERT_TRUE(run_until([&] { return bus.asked() > asked; })) << log();
   ready();
   EXPECT_FALSE(fresh.calls().empty());
--- a/tests/controller/gateway_test.cpp
+++ b/tests/controller/gateway_test.cpp
@@ -196,7 +196,7 @@
 TEST(Gateway, CommitThatIsLostOnItsWayBackIsNotAnsweredAgain) {
   GatewayFixture town;
   town.start();
-  town.broker.lose_commits(1);
+  town.broker.drop_commit_replies(1);
   const std::string name = town.call("gate");
   ASSERT_TRUE(town.wait_answer(name));
   town.net.run_for(5s);
@@ -208,7 +208,7 @@
 TEST(Gateway, CommitThatNeverArrivedIsMadeAgainWithTheSameAnswer) {
   GatewayFixture town;
   town.start();
-  town.broker.refuse_commits(1);
+  town.broker.drop_commits(1);
   const std::string name = town.call("gate");
   ASSERT_TRUE(town.wait_answer(name));
   EXPECT_TRUE(settled(town));
@@ -220,11 +220,11 @@
 TEST(Gateway, RedeliveredOnceCallOfAnotherLifeIsFailedNotRun) {
   GatewayFixture town;
   town.start();
-  town.worker(1).set_slow(50), town.worker(2).set_slow(50);
+  town.worker(1).set_slowdown(50), town.worker(2).set_slowdown(50);
   const std::string gate = town.call("gate"), echo = town.call("echo");
   ASSERT_TRUE(town.net.run_until([&] { return town.run_count(gate) == 1 && town.run_count(echo) == 1; }));
   town.gateway.reset();  // killed: nothing is said to anyone
-  town.worker(1).set_slow(1), town.worker(2).set_slow(1);
+  town.worker(1).set_slowdown(1), town.worker(2).set_slowdown(1);
   town.start_gateway(8);
   ASSERT_TRUE(town.wait_answer(gate));
   ASSERT_TRUE(town.wait_answer(echo));
@@ -237,14 +237,14 @@
 TEST(Gateway, BrokerThatStopsReadingGetsNoMoreCallsTaken) {
   GatewayFixture town(2, 1, settings());
   town.start();
-  town.broker.set_deaf(true, "gw-0");
+  town.broker.set_reading_paused(true, "gw-0");
   std::string body(900'000, 'b');
   for (int i = 0; i < 40; ++i) town.call("echo", {"", "", "", "", "", body, 30'000, true});
   town.net.run_for(3s);  // shorter than the broker's patience without a heartbeat
   // 40 answers of 900 kB wait in no transport: they stay here, and prefetch bounds them.
   const std::size_t held = town.tape.count("answer");
   EXPECT_LE(town.net.unsent(town.broker_at), 6U << 20);
-  town.broker.set_deaf(false, "gw-0");
+  town.broker.set_reading_paused(false, "gw-0");
   ASSERT_TRUE(town.net.run_until([&] { return town.caller->answers().size() == 40; }, 60s));
   EXPECT_EQ(held, 0U);
   EXPECT_TRUE(settled(town));
@@ -279,7 +279,7 @@
   town.start();
   const std::string name = town.call("gate");
   ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
-  town.broker.set_mute(true, "gw-0");
+  town.broker.set_writing_paused(true, "gw-0");
   ASSERT_TRUE(town.net.run_until([&] { return town.log.contains("no heartbeat"); }, 15s));
   ASSERT_TRUE(town.wait_answer(name));
   town.net.run_for(3s);
@@ -325,10 +325,10 @@
   };
   standin::Caller other(town.net, {town.broker_at, "other", "calls", "short-lived"}, town.tape);
   ASSERT_TRUE(town.net.run_until([&] { return other.ready(); }));
-  town.worker(1).set_slow(20), town.worker(2).set_slow(20);
+  town.worker(1).set_slowdown(20), town.worker(2).set_slowdown(20);
   other.call({"lost", "echo", "", "", "", "b", {}, true});
   ASSERT_TRUE(town.net.run_until([&] { return town.run_count("lost") == 1; }));
-  town.broker.drop("short-lived");
+  town.broker.delete_queue("short-lived");
   ASSERT_TRUE(town.net.run_until([&] { return town.log.contains("an answer found no queue"); }));
   EXPECT_TRUE(settled(town));
 }
@@ -364,7 +364,7 @@
   narrow->module.bounds.max_open = 3;
   GatewayFixture town(1, 1, narrow);
   town.start();
-  town.worker(1).set_slow(20);
+  town.worker(1).set_slowdown(20);
   for (int i = 0; i < 10; ++i) town.call("echo");
   ASSERT_TRUE(town.net.run_until([&] { return town.caller->answers().size() == 10; }));
   EXPECT_LE(town.tape.count("ran"), 3U);
@@ -377,12 +377,12 @@
 TEST(Gateway, WorkerResetsAfterTakingACallAndBeforeAnswering) {
   GatewayFixture town;
   town.start();
-  for (std::uint32_t id : {1, 2}) town.worker(id).take_and_reset(1000);
+  for (std::uint32_t id : {1, 2}) town.worker(id).reset_after_calls(1000);
   const std::string gate = town.call("gate");
   ASSERT_TRUE(town.wait_answer(gate));
   EXPECT_EQ(town.outcome(gate), "failed");  // it may have run: never again, never refused
   EXPECT_EQ(town.tape.count("call", gate) - town.tape.count("answered", gate), 1U);
-  for (std::uint32_t id : {1, 2}) town.worker(id).take_and_reset(0);
+  for (std::uint32_t id : {1, 2}) town.worker(id).reset_after_calls(0);
   const std::string echo = town.call("echo");
   ASSERT_TRUE(town.wait_answer(echo));
   EXPECT_EQ(town.outcome(echo), "served");
@@ -406,7 +406,7 @@
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("first"));
-  for (std::uint32_t id : {1, 2}) town.worker(id).answer_late(1, 4s);
+  for (std::uint32_t id : {1, 2}) town.worker(id).delay_answers(1, 4s);
   const std::string late = town.call("gate");
   ASSERT_TRUE(town.wait_answer(late));
   EXPECT_EQ(town.outcome(late), "failed");
@@ -414,7 +414,8 @@
   EXPECT_EQ(town.answers(late), 1U);
   EXPECT_TRUE(town.log.contains("nobody waits for any more"));
   for (std::uint32_t id : {1, 2})
-    town.worker(id).answer_late(0, 0s), town.worker(id).answer_twice(1), town.worker(id).answer_ghosts(1);
+    town.worker(id).delay_answers(0, 0s), town.worker(id).duplicate_answers(1),
+        town.worker(id).send_unknown_answers(1);
   town.call("gate", {"again", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("again"));
   town.net.run_for(1s);
@@ -428,7 +429,7 @@
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("first"));
-  town.worker(1).set_slow(100);
+  town.worker(1).set_slowdown(100);
   std::vector<std::string> names;
   for (int i = 0; i < 199; ++i) names.push_back(town.call("gate", {"", "", "", "", "", "", 20'000, true}));
   ASSERT_TRUE(town.net.run_until([&] { return town.tape.count("call") >= 200; }, 5s) || true);
@@ -451,7 +452,7 @@
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("first"));
-  town.worker(1).set_slow(10), town.worker(2).set_slow(10);
+  town.worker(1).set_slowdown(10), town.worker(2).set_slowdown(10);
   const std::string name = town.call("gate");
   ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
   town.set_worker_state(1, WorkerState::kGone), town.set_worker_state(2, WorkerState::kGone);
@@ -469,7 +470,7 @@
   GatewayFixture town(2);
   town.start();
   town.net.run_for(100ms);
-  town.list.send_old(1);  // an older list that knows of nobody
+  town.list.send_outdated_list(1);  // an older list that knows of nobody
   town.net.run_for(100ms);
   const std::string name = town.call("echo");
   ASSERT_TRUE(town.wait_answer(name));
@@ -481,7 +482,7 @@
   town.start();
   for (int i = 0; i < 20; ++i) town.set_worker_state(2, WorkerState::kReady);
   town.net.run_for(100ms);
-  town.list.rebirth();  // counts from 1 again, in a later epoch
+  town.list.begin_new_epoch();  // counts from 1 again, in a later epoch
   town.net.run_for(100ms);
   town.set_worker_state(1, WorkerState::kGone), town.set_worker_state(2, WorkerState::kGone);
   town.net.run_for(1500ms);
@@ -605,7 +606,7 @@
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("first"));
-  town.worker(1).set_silent(true), town.worker(2).set_silent(true);
+  town.worker(1).set_unresponsive(true), town.worker(2).set_unresponsive(true);
   const Time sent = town.net.now();
   const std::string name = town.call("gate", {"", "", "", "", "", "", 1500, true});
   ASSERT_TRUE(town.wait_answer(name));
@@ -636,11 +637,11 @@
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});  // takes the last id
   ASSERT_TRUE(town.wait_answer("first"));
-  town.worker(1).set_slow(60), town.worker(2).set_slow(60);
+  town.worker(1).set_slowdown(60), town.worker(2).set_slowdown(60);
   const std::string slow = town.call("gate", {"", "", "", "", "", "", 20'000, true});  // id 1, and stays open
   ASSERT_TRUE(town.net.run_until([&] { return town.run_count(slow) == 1; }));
   town.gateway->core().rewind_ids(0);  // 0 names no call, 1 is open
-  town.worker(1).set_slow(1), town.worker(2).set_slow(1);
+  town.worker(1).set_slowdown(1), town.worker(2).set_slowdown(1);
   const std::string quick = town.call("gate");
   ASSERT_TRUE(town.wait_answer(quick));
   ASSERT_TRUE(town.wait_answer(slow));
@@ -768,7 +769,7 @@
   town.start();
   town.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(town.wait_answer("first"));
-  town.worker(1).set_slow(20), town.worker(2).set_slow(20);
+  town.worker(1).set_slowdown(20), town.worker(2).set_slowdown(20);
   std::vector<std::string> taken;
   for (int i = 0; i < 5; ++i) taken.push_back(town.call("gate"));
   ASSERT_TRUE(town.net.run_until([&] { return town.gateway->core().open() == 5; }));
@@ -787,7 +788,7 @@
   town.net.run_for(100ms);
   EXPECT_EQ(town.answers(after), 0U);
   EXPECT_EQ(town.broker.depth("calls"), 1U);  // for whoever comes next
-  town.worker(1).set_slow(1), town.worker(2).set_slow(1);
+  town.worker(1).set_slowdown(1), town.worker(2).set_slowdown(1);
   town.start_gateway(9);
   EXPECT_TRUE(town.wait_answer(after));
 }
@@ -816,7 +817,7 @@
   GatewayFixture town(2);
   town.start();
   ASSERT_TRUE(town.wait_answer(town.call("gate")));
-  town.worker(1).set_slow(40), town.worker(2).set_slow(40);
+  town.worker(1).set_slowdown(40), town.worker(2).set_slowdown(40);
   const std::string name = town.call("gate");
   ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
   auto without = std::make_shared<config::Settings>(*settings());
@@ -877,26 +878,27 @@
     switch (town.net.random() % 24) {
       case 0: town.broker.break_connections("gw-0"); break;
       case 1: town.broker.close_channels(amqp::ReplyCode::kPreconditionFailed, "by chance", "gw-0"); break;
-      case 2: w.take_and_reset(1); break;
+      case 2: w.reset_after_calls(1); break;
       case 3: w.reset_answers(1); break;
-      case 4: w.answer_twice(1), w.answer_ghosts(1); break;
-      case 5: w.answer_late(1, 4s); break;
+      case 4: w.duplicate_answers(1), w.send_unknown_answers(1); break;
+      case 5: w.delay_answers(1, 4s); break;
       case 6: w.crash(); break;
       case 7:
         if (!w.up()) w.start(w.address(), false);
         break;
-      case 8: w.void_copies(); break;
-      case 9: town.broker.refuse_commits(1); break;
+      case 8: w.discard_instances(); break;
+      case 9: town.broker.drop_commits(1); break;
       case 10: w.set_load_fails(town.net.random() % 2); break;
       case 11: w.set_full(town.net.random() % 2); break;
       case 12: town.net.break_connections(w.address()); break;
-      case 13: w.set_silent(true); break;
-      case 14: w.set_silent(false); break;
+      case 13: w.set_unresponsive(true); break;
+      case 14: w.set_unresponsive(false); break;
       default: break;
     }
   }
   for (std::uint32_t id = 1; id <= 4; ++id) {
-    town.worker(id).set_silent(false), town.worker(id).set_full(false), town.worker(id).set_load_fails(false);
+    town.worker(id).set_unresponsive(false), town.worker(id).set_full(false),
+        town.worker(id).set_load_fails(false);
     if (!town.worker(id).up()) town.worker(id).start(GatewayFixture::worker_at(id), false);
   }
   auto all = [&] {
--- a/tests/controller/invoke_test.cpp
+++ b/tests/controller/invoke_test.cpp
@@ -226,7 +226,7 @@
 TEST(Invoke, PreferWaitAnswersAtOnceWhatIsSoonThere) {
   HttpTown town;
   EXPECT_EQ(town.call("echo", {{"Prefer", "respond-async, wait=5"}}).status, 200);
-  town.worker(1).set_silent(true), town.worker(2).set_silent(true);
+  town.worker(1).set_unresponsive(true), town.worker(2).set_unresponsive(true);
   const Time before = town.net.now();
   EXPECT_EQ(town.call("echo", {{"Prefer", "respond-async, wait=1"}}).status, 202);
   EXPECT_GE(town.net.now() - before, 1s);
@@ -401,7 +401,7 @@
 
 TEST(Invoke, DeferredCallsSurviveAKillAndAreAnsweredInTime) {
   HttpTown town;
-  town.worker(1).set_silent(true), town.worker(2).set_silent(true);
+  town.worker(1).set_unresponsive(true), town.worker(2).set_unresponsive(true);
   std::vector<std::string> where;
   for (int i = 0; i < 5; ++i)
     where.push_back(HttpTown::field(town.call("gate", {{"Prefer", "respond-async"}}), "Location"));
--- a/tests/front/front_test.cpp
+++ b/tests/front/front_test.cpp
@@ -245,7 +245,7 @@
   auto client = std::make_unique<PlatformClient>(net, kAt);
   client->call({{"n", "x"}}, "");
   net.run_for(20ms);
-  client->hang_up();
+  client->disconnect();
   net.run_for(20ms);
   EXPECT_EQ(gone.size(), 1U);
   EXPECT_EQ(server.owed(), 0U);
--- a/tests/layers/agent_test.cpp
+++ b/tests/layers/agent_test.cpp
@@ -281,7 +281,7 @@
   start();
   ASSERT_TRUE(run(ask("decoder")));
   const auto second = publish("decoder", noise(kSize, 2));
-  store.drop_blob(digest_of(second.packed.blob).text());
+  store.delete_blob(digest_of(second.packed.blob).text());
   agent->look("decoder");
   net.run_for(20s);
   const auto got = ask("decoder", Level::kCall, "w2");
@@ -425,7 +425,7 @@
   start();
   ASSERT_TRUE(run(ask("decoder")));
   const double before = agent->store().window;
-  store.set_slow(8);
+  store.set_slowdown(8);
   const auto got = ask("other");
   ASSERT_TRUE(run(got, 300s)) << got->no.why;
   EXPECT_LT(agent->store().window, before);
@@ -629,7 +629,7 @@
   }
   ASSERT_TRUE(net.run_until(
       [&] { return std::all_of(boxes.begin(), boxes.end(), [](auto& b) { return b->well; }); }, 300s));
-  EXPECT_LT(crowded.most_in_hand(), 20U * 4U + 20U);
+  EXPECT_LT(crowded.max_in_flight(), 20U * 4U + 20U);
 }
 
 }  // namespace
--- a/tests/ledger/restart_test.cpp
+++ b/tests/ledger/restart_test.cpp
@@ -131,7 +131,7 @@
 TEST(Restart, ServedAgainFromTheRecordWhenTheCommitNeverArrived) {
   LedgerTown town;
   town.start();
-  town.broker.refuse_commits(1);  // the connection breaks in its place
+  town.broker.drop_commits(1);  // the connection breaks in its place
   const std::string name = town.call("gate");
   ASSERT_TRUE(town.net.run_until([&] { return town.run_count(name) == 1; }));
   ASSERT_TRUE(town.net.run_until([&] { return town.log.contains("connection ended"); }));
@@ -275,7 +275,7 @@
 TEST(Restart, AcknowledgedCallsWhosePatienceRanOutAreAnswered) {
   LedgerTown town(Mode::kTake);
   town.start();
-  town.worker(1).set_silent(true), town.worker(2).set_silent(true);
+  town.worker(1).set_unresponsive(true), town.worker(2).set_unresponsive(true);
   std::vector<std::string> names;
   for (int i = 0; i < 3; ++i) names.push_back(town.call("gate")), names.push_back(town.call("echo"));
   ASSERT_TRUE(
--- a/tests/node/crossings_test.cpp
+++ b/tests/node/crossings_test.cpp
@@ -231,7 +231,7 @@
 
 // In the very step in which the listener closes: the machine has accepted, the program has not.
 TEST_F(Crossing, TermAConnectionAcceptedByTheMachineOnlyIsServed) {
-  bus.tell({member("s-1", invoker().address())});
+  bus.publish({member("s-1", invoker().address())});
   start();
   RawSocket before(node->address());
   warm(before);
@@ -254,7 +254,7 @@
 }
 
 TEST_F(Crossing, TermARequestHalfReadIsServedWhenItsRestComes) {
-  bus.tell({member("s-1", invoker().address())});
+  bus.publish({member("s-1", invoker().address())});
   start();
   RawSocket client(node->address());
   warm(client);
@@ -270,7 +270,7 @@
 }
 
 TEST_F(Crossing, TermWaitsForAnswersThatAreNotFlushed) {
-  bus.tell({member("s-1", invoker().address())});
+  bus.publish({member("s-1", invoker().address())});
   start();
   RawSocket client(node->address(), 4096);
   warm(client);
@@ -292,7 +292,7 @@
 
 TEST_F(Crossing, TermACallWhoseNextAttemptIsYetToComeIsAnswered) {
   PlatformInvoker& one = invoker();
-  bus.tell({member("s-1", one.address())});
+  bus.publish({member("s-1", one.address())});
   start();
   RawSocket client(node->address());
   warm(client);
@@ -312,8 +312,8 @@
   PlatformInvoker &one = invoker(), &two = invoker();
   PlatformBus other(loop, {"127.0.0.1", 0});
   other.start();
-  bus.tell({member("s-1", one.address()), member("s-2", two.address())});
-  other.tell({member("s-1", one.address()), member("s-2", two.address())});
+  bus.publish({member("s-1", one.address()), member("s-2", two.address())});
+  other.publish({member("s-1", one.address()), member("s-2", two.address())});
   start();
   RawSocket client(node->address());
   warm(client);
@@ -323,7 +323,7 @@
   drain();
   node->reload(doc.dump());
   node->reload(moved.dump());
-  other.tell({member("s-1", one.address(), "leaving")});
+  other.publish({member("s-1", one.address(), "leaving")});
   ASSERT_TRUE(run_until([&] { return node->roster().last() == 2; }));
   run_for(250ms);  // the grace
   const std::size_t calls = one.calls().size();
@@ -343,7 +343,7 @@
     doc["settings"]["bounds"]["may_cancel"] = false;
     doc["settings"]["family_info"]["miss_mode"] = "load";
     doc["settings"]["family_info"]["orders"] = false;
-    bus.tell({member("s-1", invoker.address())});
+    bus.publish({member("s-1", invoker.address())});
     start();
     client = RawSocket(node->address());
     client.write(call(1));
@@ -389,13 +389,13 @@
 
 // Told between the choice of the invoker and the first byte: past the grace nothing goes there.
 TEST_F(HeldDial, ADrainToldMeanwhileIsKept) {
-  bus.tell({member("s-1", invoker.address(), "leaving")});
+  bus.publish({member("s-1", invoker.address(), "leaving")});
   ASSERT_TRUE(run_until([&] { return node->roster().last() == 2; }));
   EXPECT_TRUE(brought().empty());
 }
 
 TEST_F(HeldDial, AWholeListWithoutItIsKept) {
-  bus.tell_whole({});
+  bus.publish_full_list({});
   ASSERT_TRUE(run_until([&] { return node->roster().last() == 2; }));
   EXPECT_TRUE(brought().empty());
 }
@@ -409,7 +409,7 @@
   void SetUp() override {
     doc["settings"]["family_info"]["miss_mode"] = "load";
     doc["settings"]["family_info"]["orders"] = false;
-    bus.tell({member("s-1", invoker.address())});
+    bus.publish({member("s-1", invoker.address())});
     start();
     client = RawSocket(node->address());
     id = ids;
@@ -601,7 +601,7 @@
 // what the bus has told since is not known, so the old comment says nothing and the bus is asked anew.
 TEST_F(Crossing, ACommentThatIsReadLateSaysNothing) {
   RawListener raw;
-  bus.tell({member("s-1", invoker().address())});
+  bus.publish({member("s-1", invoker().address())});
   doc["bus"] = raw.address().text();
   start();
   RawSocket watch;
@@ -628,13 +628,13 @@
 // The watch falls silent, and the next one too; then the bus is not there. What it told is known in 4 s.
 TEST_F(Crossing, AWatchThatFallsSilentTwiceStillTellsADrainInTime) {
   PlatformInvoker &one = invoker(), &two = invoker();
-  bus.tell({member("s-1", one.address()), member("s-2", two.address())});
+  bus.publish({member("s-1", one.address()), member("s-2", two.address())});
   start();
   ASSERT_TRUE(run_until([&] { return node->feed().connected(); }));
   bus.set_silent(true);
-  bus.mute_next(1);
+  bus.ignore_next_requests(1);
   const Time began = loop.now();
-  bus.tell({member("s-1", one.address(), "leaving")});
+  bus.publish({member("s-1", one.address(), "leaving")});
   ASSERT_TRUE(run_until([&] { return node->roster().last() == 2; }));
   EXPECT_EQ(bus.asked(), 3U);
   EXPECT_LT(loop.now() - began, Duration(4s));
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -15,11 +15,11 @@
 
 using namespace std::chrono_literals;
 using nlohmann::json;
+using standin::InjectedFault;
 using standin::PlatformBus;
 using standin::PlatformClient;
 using standin::PlatformInvoker;
 using standin::PlatformMember;
-using standin::Spoil;
 
 using tests::config, tests::kBus, tests::kListen, tests::parsed, tests::settings;
 
@@ -169,7 +169,7 @@
       members.push_back(member(i));
     }
     bus.start();
-    bus.tell(members);
+    bus.publish(members);
     start(config(bus.known()));
   }
   void start(const json& doc) {
@@ -218,7 +218,7 @@
   std::vector<std::int32_t> numbers;
   for (int i = 0; i < 600; ++i) {
     numbers.push_back(client.call(fields(i % 3 == 0 ? "read" : i % 3 == 1 ? "update" : "release"), "b"));
-    if (i % 40 == 7) invoker(1 + i % 3).spoil_next(static_cast<Spoil>(1 + (i / 40) % 8));
+    if (i % 40 == 7) invoker(1 + i % 3).inject_fault(static_cast<InjectedFault>(1 + (i / 40) % 8));
     if (i == 300) invoker(2).stop();
     if (i == 400) invoker(2).start();
     net.run_for(10ms);
@@ -238,7 +238,7 @@
   PlatformClient client(net, kListen);
   client.call(fields("release"), "warm");
   net.run_for(1s);
-  for (int i = 1; i <= 3; ++i) invoker(i).spoil_next(Spoil::kReset);
+  for (int i = 1; i <= 3; ++i) invoker(i).inject_fault(InjectedFault::kReset);
   front::Fields f = fields("release");
   const std::uint64_t id = *platform::parse_id(f["call"]);
   const auto n = client.call(f, "b");
@@ -295,7 +295,7 @@
 TEST_F(NodeTest, NothingNewGoesToALeavingInvoker) {
   PlatformClient client(net, kListen);
   for (int i = 0; i < 30; ++i) client.call(fields(), "b"), net.run_for(20ms);
-  bus.tell({member(1, "leaving")});
+  bus.publish({member(1, "leaving")});
   net.run_for(200ms);
   const std::size_t calls = invoker(1).calls().size(), orders = invoker(1).orders();
   for (int i = 0; i < 100; ++i) client.call(fields(), "b"), net.run_for(50ms);
@@ -307,7 +307,7 @@
   PlatformClient client(net, kListen);
   for (int i = 0; i < 30; ++i) client.call(fields(), "b"), net.run_for(20ms);
   bus.stop();
-  bus.tell({member(1, "leaving")});
+  bus.publish({member(1, "leaving")});
   net.run_for(1s);
   bus.start();
   net.run_for(1s);
@@ -320,7 +320,7 @@
   PlatformClient client(net, kListen);
   for (int i = 0; i < 10; ++i) client.call(fields(), "b"), net.run_for(50ms);
   const auto before = *node->roster().worker_id_of("s-1");
-  bus.tell({member(1, "left"), {"s-9", invoker_at(1), "active", 1, 0}});
+  bus.publish({member(1, "left"), {"s-9", invoker_at(1), "active", 1, 0}});
   net.run_for(100ms);
   EXPECT_FALSE(node->roster().worker_id_of("s-1"));
   EXPECT_NE(*node->roster().worker_id_of("s-9"), before);
@@ -333,7 +333,7 @@
 
 TEST_F(NodeTest, AGapThatTheBusDoesNotFillIsSteppedOver) {
   bus.set_skip(2);
-  bus.tell({member(1, "leaving")}), bus.tell({member(2, "leaving")});
+  bus.publish({member(1, "leaving")}), bus.publish({member(2, "leaving")});
   net.run_for(3s);
   EXPECT_EQ(node->roster().last(), 3U);
   EXPECT_EQ(node->core().list().find(WorkerId{*node->roster().worker_id_of("s-2")})->state,
@@ -344,7 +344,7 @@
 // counts.
 TEST_F(NodeTest, AGapIsFilledFromTheWholeHistory) {
   bus.set_skip(2, true);
-  bus.tell({member(1, "leaving")}), bus.tell({member(2, "leaving")});
+  bus.publish({member(1, "leaving")}), bus.publish({member(2, "leaving")});
   net.run_for(1s);
   EXPECT_EQ(node->roster().last(), 3U);
   EXPECT_EQ(state(1), WorkerState::kDraining);
@@ -353,7 +353,7 @@
 }
 
 TEST_F(NodeTest, AnEventThatCannotBeReadLosesNoneOfTheOthers) {
-  bus.tell_as_it_is("{\"topology\":"), bus.tell({member(1, "leaving")});
+  bus.publish_raw("{\"topology\":"), bus.publish({member(1, "leaving")});
   net.run_for(1s);
   EXPECT_EQ(node->roster().last(), 3U);
   EXPECT_EQ(state(1), WorkerState::kDraining);
@@ -362,8 +362,8 @@
 
 // Spoilt on its way only: asked for again, it is whole.
 TEST_F(NodeTest, AnEventThatWasSpoiltOnItsWayCounts) {
-  bus.tell_as_it_is("noise");
-  bus.spoil(2, standin::platform_event(2, false, {member(1, "leaving")}));
+  bus.publish_raw("noise");
+  bus.replace_event(2, standin::platform_event(2, false, {member(1, "leaving")}));
   net.run_for(1s);
   EXPECT_EQ(bus.last_asked_from(), 1U);
   EXPECT_EQ(node->roster().last(), 2U);
@@ -373,7 +373,7 @@
 TEST_F(NodeTest, AWholeListTakesOutWhomItOmits) {
   PlatformClient client(net, kListen);
   for (int i = 0; i < 30; ++i) client.call(fields(), "b"), net.run_for(20ms);
-  bus.tell_whole({member(2), member(3)});
+  bus.publish_full_list({member(2), member(3)});
   net.run_for(200ms);
   EXPECT_FALSE(node->roster().worker_id_of("s-1"));
   const std::size_t calls = invoker(1).calls().size(), orders = invoker(1).orders();
@@ -386,12 +386,12 @@
 TEST_F(NodeTest, AReloadWithADrainOnlyInKnownCountsAtOnce) {
   net.run_for(100ms);
   bus.set_silent(true);
-  bus.tell({member(1, "leaving")}), bus.tell({member(2, "leaving")});
+  bus.publish({member(1, "leaving")}), bus.publish({member(2, "leaving")});
   node->reload(config(bus.known()).dump());
   EXPECT_EQ(state(1), WorkerState::kDraining);
   EXPECT_EQ(state(2), WorkerState::kDraining);
   bus.set_silent(false);
-  bus.tell({member(2, "left")});
+  bus.publish({member(2, "left")});
   net.run_for(5s);
   EXPECT_EQ(node->roster().last(), 4U);
   EXPECT_FALSE(node->roster().worker_id_of("s-2"));
@@ -401,7 +401,7 @@
 TEST_F(NodeTest, AReloadWithAHoleInKnownStepsOverNothing) {
   net.run_for(100ms);
   bus.set_silent(true);
-  bus.tell({member(1, "leaving")}), bus.tell({member(2, "leaving")});
+  bus.publish({member(1, "leaving")}), bus.publish({member(2, "leaving")});
   json holed = json::parse(bus.known());
   holed["batch"].erase(1);
   node->reload(config(holed.dump()).dump());
@@ -427,7 +427,7 @@
   EXPECT_EQ(said("the list held is that of event 1"), 1);
   EXPECT_GE(said("discovery_heard_ms_ago=1"), 1);  // 10 s and more
   bus.start();
-  bus.tell({member(1, "leaving")});
+  bus.publish({member(1, "leaving")});
   net.run_for(3s);
   EXPECT_EQ(said("discovery: heard again after"), 1);
   EXPECT_EQ(said("list: event 2 changes 1 of 3 workers: s-1 (worker 1) ready->draining"), 1);
@@ -454,9 +454,9 @@
 // A break, and then a watch that is silent from its first byte on.
 TEST_F(NodeTest, ABreakAndAStopAfterOneAnother) {
   net.run_for(2s);
-  bus.mute_next(1);
-  bus.break_in_event();
-  bus.tell({member(1, "leaving")});
+  bus.ignore_next_requests(1);
+  bus.truncate_next_event();
+  bus.publish({member(1, "leaving")});
   net.run_for(1500ms);
   EXPECT_EQ(state(1), WorkerState::kDraining);
 }
@@ -465,7 +465,7 @@
 TEST_F(NodeTest, ARefusalOnReconnectingIsOutlasted) {
   net.run_for(2s);
   bus.stop();
-  bus.tell({member(1, "leaving")});
+  bus.publish({member(1, "leaving")});
   net.run_for(8s);
   bus.start();
   net.run_for(1s);
@@ -492,18 +492,18 @@
   std::vector<std::int32_t> numbers;
   PlatformBus other(net, kBus2);
   other.start();
-  other.tell({member(1), member(2), member(3)});
+  other.publish({member(1), member(2), member(3)});
   for (int round = 0; round < 6; ++round) {
     for (int i = 0; i < 10; ++i) numbers.push_back(client.call(fields(), "b")), net.run_for(10ms);
     node->reload("{\"name\":");
     EXPECT_NE(lines.back().find("old configuration stands"), std::string::npos);
     const bool second = round % 2 == 0;
     node->reload(config(second ? other.known() : bus.known(), second ? kBus2 : kBus).dump());
-    (second ? other : bus).tell({member(3, round % 3 == 0 ? "leaving" : "active")});
+    (second ? other : bus).publish({member(3, round % 3 == 0 ? "leaving" : "active")});
     if (second)
-      bus.tell({member(3)});
+      bus.publish({member(3)});
     else
-      other.tell({member(3)});
+      other.publish({member(3)});
     net.run_for(500ms);
     EXPECT_EQ(node->feed().bus(), second ? kBus2 : kBus);
   }
@@ -563,9 +563,9 @@
       }
       net.run_for(100ms);
       const std::string name = "t-" + std::to_string(ids);
-      bus.tell({{name, invoker_at(1), "active", 0, 0}});
+      bus.publish({{name, invoker_at(1), "active", 0, 0}});
       net.run_for(50ms);
-      bus.tell({{name, invoker_at(1), "left", 0, 0}});
+      bus.publish({{name, invoker_at(1), "left", 0, 0}});
       net.run_for(50ms);
     }
     net.run_for(11min);
@@ -610,7 +610,7 @@
   json doc = config(bus.known());
   doc["limits"]["memory_mb"] = 1;  // a quarter holds 16 bodies of 16 KiB
   start(doc);
-  for (auto& i : invokers) i->spoil_next(Spoil::kSilent, 100);
+  for (auto& i : invokers) i->inject_fault(InjectedFault::kNoAnswer, 100);
   PlatformClient client(net, kListen);
   for (int i = 0; i < 30; ++i) client.call(fields(), std::string(16 << 10, 'x'));
   net.run_for(30ms);
--- a/tests/node/outage_test.cpp
+++ b/tests/node/outage_test.cpp
@@ -72,7 +72,7 @@
       members.push_back({name(i), address(i), "active", i % 2, 0});
     }
     bus.start();
-    bus.tell(members);
+    bus.publish(members);
     doc = tests::config(bus.known());
     doc["settings"]["rules"]["drain_grace_ns"] = kGrace.count();
   }
@@ -117,7 +117,7 @@
   void drain(int worker) {
     at(worker).set_draining(true);
     told_at[static_cast<std::size_t>(worker)] = std::max(net.now(), began + told_after);
-    bus.tell({{name(worker), address(worker), "leaving", worker % 2, 0}});
+    bus.publish({{name(worker), address(worker), "leaving", worker % 2, 0}});
   }
   // Calls and orders to load past the told time and the grace.
   std::size_t late_sends() const {
@@ -218,8 +218,8 @@
   traffic(5s);
   PlatformBus other(net, kOtherBus);
   ASSERT_TRUE(other.start());
-  other.tell({}), other.tell({{name(0), address(0), "leaving", 0, 0}});
-  other.tell({{name(1), address(1), "leaving", 1, 0}});
+  other.publish({}), other.publish({{name(0), address(0), "leaving", 0, 0}});
+  other.publish({{name(1), address(1), "leaving", 1, 0}});
   traffic(3s);
   net.run_for(2s);
   EXPECT_EQ(node->roster().last(), 3U);
@@ -257,14 +257,14 @@
   for (int i = 0; i < kWorkers - 1; ++i) {
     at(i).set_draining(true);
     told_at[static_cast<std::size_t>(i)] = net.now();
-    for (int twice = 0; twice < 20; ++twice) bus.tell({{name(5), address(5), "active", 1, 0}});
-    bus.tell({{name(i), address(i), "leaving", i % 2, 0}});
+    for (int twice = 0; twice < 20; ++twice) bus.publish({{name(5), address(5), "active", 1, 0}});
+    bus.publish({{name(i), address(i), "leaving", i % 2, 0}});
   }
   net.run_for(1500ms);
   end(Form::kRefused);
   traffic(3s, 5ms);
   net.run_for(2s);
-  EXPECT_EQ(node->roster().last(), bus.tell({}) - 1);
+  EXPECT_EQ(node->roster().last(), bus.publish({}) - 1);
   EXPECT_EQ(late_sends(), 0U);
 }
 
@@ -274,18 +274,18 @@
   traffic(2s);
   const auto current = [&] { return node->core().module().list_is_valid(net.now()); };
   EXPECT_TRUE(current());
-  bus.tell_as_it_is("noise");
+  bus.publish_raw("noise");
   ASSERT_TRUE(net.run_until([&] { return node->roster().replaying(); }));
   PlatformBus other(net, kOtherBus);  // holds the first event only
   ASSERT_TRUE(other.start());
-  other.tell({});
+  other.publish({});
   json moved = doc;
   moved["bus"] = kOtherBus.text();
   node->reload(moved.dump());
   net.run_for(5s);
   ASSERT_TRUE(node->roster().replaying());
   EXPECT_FALSE(current());
-  other.tell({});
+  other.publish({});
   net.run_for(1500ms);
   EXPECT_FALSE(node->roster().replaying());
   EXPECT_TRUE(current());
--- a/tests/node/repeat_window_test.cpp
+++ b/tests/node/repeat_window_test.cpp
@@ -37,7 +37,7 @@
 
   void SetUp() override {
     first.start(), second.start(), bus.start();
-    bus.tell({{"s-1", kFirst, "active", 0, 0}, {"s-2", kSecond, "active", 0, 0}});
+    bus.publish({{"s-1", kFirst, "active", 0, 0}, {"s-2", kSecond, "active", 0, 0}});
     nlohmann::json doc = tests::config(bus.known());
     doc["settings"]["bounds"]["dial_timeout_ns"] = kDialTimeout.count();
     for (auto& c : doc["settings"]["classes"]) {
@@ -60,7 +60,7 @@
                                    "b"));
   }
   static std::optional<Time> came_at(const PlatformInvoker& worker, std::uint64_t id) {
-    for (const PlatformInvoker::Seen& seen : worker.calls())
+    for (const PlatformInvoker::ReceivedCall& seen : worker.calls())
       if (seen.id == id) return seen.at;
     return std::nullopt;
   }
--- a/tests/platform/feed_test.cpp
+++ b/tests/platform/feed_test.cpp
@@ -77,7 +77,7 @@
 
   void SetUp() override {
     ASSERT_TRUE(bus.start());
-    for (int i = 0; i < 3; ++i) bus.tell({});
+    for (int i = 0; i < 3; ++i) bus.publish({});
     follower = std::make_unique<EventSubscriber>(
         net, kBus, 1, EventSubscriber::Options{},
         [this](const Event& e) {
@@ -98,16 +98,16 @@
 }
 
 TEST_F(FollowerTest, DoublesArePassedOver) {
-  bus.set_doubles(true);
-  bus.tell({}), bus.tell({});
+  bus.set_duplicate_events(true);
+  bus.publish({}), bus.publish({});
   net.run_for(100ms);
   EXPECT_EQ(heard, (std::vector<std::uint64_t>{2, 3, 4, 5}));
 }
 
 TEST_F(FollowerTest, ABreakWithinAnEventAsksAgainAtOnce) {
   net.run_for(2s);
-  bus.break_in_event();
-  bus.tell({});
+  bus.truncate_next_event();
+  bus.publish({});
   net.run_for(200ms);
   EXPECT_EQ(heard.back(), 4U);
   EXPECT_EQ(bus.last_asked_from(), 3U);
@@ -116,7 +116,7 @@
 
 TEST_F(FollowerTest, SilenceIsABreak) {
   bus.set_silent(true);
-  bus.tell({});
+  bus.publish({});
   net.run_for(2500ms);
   EXPECT_EQ(heard.back(), 4U);  // told when asked again
   ASSERT_GE(lost.size(), 1U);
@@ -127,7 +127,7 @@
   net.set_silent(kBus, true);
   net.run_for(3s);
   net.set_silent(kBus, false);
-  bus.tell({});
+  bus.publish({});
   net.run_for(2s);
   EXPECT_EQ(heard.back(), 4U);
 }
@@ -139,7 +139,7 @@
   EXPECT_LT(lost.size(), 60U);
   EXPECT_GT(lost.size(), 5U);
   ASSERT_TRUE(bus.start());
-  bus.tell({});
+  bus.publish({});
   net.run_for(1s);
   EXPECT_EQ(heard.back(), 4U);
 }
@@ -149,14 +149,14 @@
   net.run_for(2s);
   bus.set_answer_after(3500ms);
   bus.stop();
-  bus.tell({});
+  bus.publish({});
   ASSERT_TRUE(bus.start());
   net.run_for(15s);
   EXPECT_EQ(heard.back(), 4U);
   EXPECT_EQ(std::count(lost.begin(), lost.end(), "no answer"), 2);
   const std::size_t asked = bus.asked();
   bus.set_answer_after(Duration(0));
-  bus.mute_next(1);
+  bus.ignore_next_requests(1);
   bus.stop();
   ASSERT_TRUE(bus.start());
   net.run_for(2500ms);
@@ -166,7 +166,7 @@
 TEST_F(FollowerTest, AGapAsksAgainFromTheLastHeld) {
   gap = 5;
   bus.set_skip(4);
-  bus.tell({}), bus.tell({});
+  bus.publish({}), bus.publish({});
   net.run_for(20ms);
   EXPECT_GE(bus.asked(), 2U);
   EXPECT_EQ(bus.last_asked_from(), 3U);
@@ -179,7 +179,7 @@
 TEST_F(FollowerTest, AnotherBusTakesOverAndNumbersGoOn) {
   PlatformBus other(net, kOther);
   ASSERT_TRUE(other.start());
-  for (int i = 0; i < 5; ++i) other.tell({});
+  for (int i = 0; i < 5; ++i) other.publish({});
   bus.stop();
   follower->move(kOther);
   net.run_for(100ms);
@@ -217,7 +217,7 @@
   net.run_for(2500ms);
   bus.stop();
   net.run_for(1500ms);
-  bus.tell({}), bus.tell({});
+  bus.publish({}), bus.publish({});
   ASSERT_TRUE(bus.start());
   net.run_until([&] { return heard.back() == 5; });
   EXPECT_LE(ahead(), Duration(0));
--- a/tests/platform/link_test.cpp
+++ b/tests/platform/link_test.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 using namespace std::chrono_literals;
+using standin::InjectedFault;
 using standin::PlatformInvoker;
-using standin::Spoil;
 const io::Address kAt{"127.0.0.1", 6565};
 const std::string kRow = "00000000000000aa";
 
@@ -210,14 +210,14 @@
 // What came spoilt has run; what else is out is told the truth, and calls on other connections go on.
 TEST_F(LinkTest, SpoiltAnswersEndTheirConnectionAlone) {
   load();
-  const std::pair<Spoil, Outcome> table[] = {{Spoil::kCheck, Outcome::kError},
-                                             {Spoil::kMark, Outcome::kReset},
-                                             {Spoil::kHuge, Outcome::kError},
-                                             {Spoil::kBreakOff, Outcome::kError},
-                                             {Spoil::kReset, Outcome::kError}};
+  const std::pair<InjectedFault, Outcome> table[] = {{InjectedFault::kBadChecksum, Outcome::kError},
+                                                     {InjectedFault::kBadMagic, Outcome::kReset},
+                                                     {InjectedFault::kOversized, Outcome::kError},
+                                                     {InjectedFault::kTruncated, Outcome::kError},
+                                                     {InjectedFault::kReset, Outcome::kError}};
   std::uint64_t cookie = 10;
   for (const auto& [spoil, expected] : table) {
-    invoker.spoil_next(spoil);
+    invoker.inject_fault(spoil);
     call(cookie), call(cookie + 1), call(cookie + 2);
     net.run_for(300ms);
     std::multiset<Outcome> met;  // connections are made in any order
@@ -231,7 +231,7 @@
 TEST_F(LinkTest, WhatSharesASpoiltConnectionMayHaveRun) {
   load();
   budget.limit = 0, budget.reserve = 1;  // all on one
-  invoker.spoil_next(Spoil::kMark);
+  invoker.inject_fault(InjectedFault::kBadMagic);
   call(1), call(2), call(3);
   net.run_for(300ms);
   for (std::uint64_t c = 1; c <= 3; ++c) EXPECT_EQ(outcome(c), Outcome::kReset);
@@ -250,7 +250,7 @@
 
 TEST_F(LinkTest, ACallWhoseConnectionBrokeCanStillBeForgotten) {
   load();
-  invoker.spoil_next(Spoil::kReset);
+  invoker.inject_fault(InjectedFault::kReset);
   call(1), call(2);
   net.run_until([&] { return link.connections() == 1; });
   link.forget_call(1), link.cancel(2);
@@ -261,7 +261,7 @@
 
 TEST_F(LinkTest, HowLongAConnectionMayRestIsLearntAndFades) {
   load();
-  invoker.reset_rested(150ms);
+  invoker.reset_idle_connections(150ms);
   std::uint64_t cookie = 1;
   const auto lost = [&](int rounds, Duration pause) {
     int n = 0;
@@ -277,7 +277,7 @@
   EXPECT_GE(lost(2, 300ms), 1);
   EXPECT_EQ(lost(20, 300ms), 0);  // all of these rested too long for it
   EXPECT_LT(link.rest(), 300ms);
-  invoker.reset_rested(0ms);
+  invoker.reset_idle_connections(0ms);
   net.run_for(10min);
   EXPECT_EQ(link.rest(), options.idle_timeout);
 }
@@ -290,7 +290,7 @@
   call(2);
   net.run_for(300ms);
   EXPECT_EQ(outcome(2), Outcome::kOk);
-  invoker.reset_rested(100ms);
+  invoker.reset_idle_connections(100ms);
   call(3);
   net.run_for(60ms);
   EXPECT_NE(outcome(3), Outcome::kOk);
@@ -321,7 +321,7 @@
 
 TEST_F(LinkTest, MoreThanBelongsToAnAnswerIsPassedOver) {
   load();
-  invoker.spoil_next(Spoil::kTwice), invoker.spoil_next(Spoil::kUnknownFirst);
+  invoker.inject_fault(InjectedFault::kDuplicate), invoker.inject_fault(InjectedFault::kUnknownIdFirst);
   call(1);
   net.run_for(100ms);
   call(2);
@@ -335,14 +335,14 @@
 TEST_F(LinkTest, AnswersThatNobodyWaitsForEndTheConnectionInTheEnd) {
   options.most_unknown = 3;
   load();
-  invoker.spoil_next(Spoil::kTwice, 4);
+  invoker.inject_fault(InjectedFault::kDuplicate, 4);
   for (std::uint64_t c = 1; c <= 4; ++c) call(c), net.run_for(100ms);
   EXPECT_EQ(link.connections(), 0U);
 }
 
 TEST_F(LinkTest, AConnectionThatLeftACallUnansweredGetsNothingNew) {
   load();
-  invoker.spoil_next(Spoil::kSilent);
+  invoker.inject_fault(InjectedFault::kNoAnswer);
   call(1);
   net.run_for(100ms);
   const std::size_t before = link.connections();
@@ -355,7 +355,7 @@
 
 TEST_F(LinkTest, ASilentConnectionGetsNothingNewWhileItKeepsWhatIsOut) {
   load();
-  invoker.spoil_next(Spoil::kSilent);
+  invoker.inject_fault(InjectedFault::kNoAnswer);
   call(1);
   net.run_for(options.unresponsive_after + 100ms);
   const std::size_t before = link.connections();
@@ -398,7 +398,7 @@
   link.cancel(1);
   net.run_for(100ms);
   EXPECT_EQ(outcome(1), Outcome::kCancelled);
-  EXPECT_TRUE(invoker.calls()[0].given_up);
+  EXPECT_TRUE(invoker.calls()[0].cancelled);
 }
 
 TEST_F(LinkTest, ACancelThatCrossesTheAnswerEndsTheCallOnce) {
@@ -423,14 +423,14 @@
 TEST_F(LinkTest, ACopyOfAnEarlierAnswerIsNotTakenForTheNextAttempts) {
   load();
   invoker.refuse_first(99);
-  invoker.copy_at_next_attempt(true);
+  invoker.duplicate_at_next_attempt(true);
   call(1, 77);
   net.run_for(50ms);
   EXPECT_EQ(outcome(1), Outcome::kMiss);
   call(2, 77);
   net.run_for(100ms);
   EXPECT_EQ(outcome(2), Outcome::kOk);
-  EXPECT_EQ(invoker.copies_sent(), 1U);
+  EXPECT_EQ(invoker.duplicates_sent(), 1U);
 }
 
 TEST_F(LinkTest, AnIdNeverGoesTwiceOverAConnectionWhereConnectionsAreScarce) {
