--- a/tests/node/race_test.cpp
+++ b/tests/node/race_test.cpp
@@ -239,7 +239,7 @@
 
 // The kernel accepts a connection in the same loop step in which the listener closes.
 TEST_F(RaceTest, DrainServesConnectionNotYetAccepted) {
-  bus.tell({member("s-1", invoker().address())});
+  bus.publish({member("s-1", invoker().address())});
   start();
   RawSocket before(node->address());
   warm(before);
@@ -263,7 +263,7 @@
 }
 
 TEST_F(RaceTest, DrainServesHalfReadRequestWhenRestArrives) {
-  bus.tell({member("s-1", invoker().address())});
+  bus.publish({member("s-1", invoker().address())});
   start();
   RawSocket client(node->address());
   warm(client);
@@ -279,7 +279,7 @@
 }
 
 TEST_F(RaceTest, DrainWaitsForUnsentAnswers) {
-  bus.tell({member("s-1", invoker().address())});
+  bus.publish({member("s-1", invoker().address())});
   start();
   RawSocket client(node->address(), 4096);
   warm(client);
@@ -301,7 +301,7 @@
 
 TEST_F(RaceTest, DrainAnswersCallWaitingForItsNextAttempt) {
   PlatformInvoker& first = invoker();
-  bus.tell({member("s-1", first.address())});
+  bus.publish({member("s-1", first.address())});
   start();
   RawSocket client(node->address());
   warm(client);
@@ -322,8 +322,8 @@
   PlatformInvoker &first = invoker(), &second = invoker();
   PlatformBus other(loop, {"127.0.0.1", 0});
   other.start();
-  bus.tell({member("s-1", first.address()), member("s-2", second.address())});
-  other.tell({member("s-1", first.address()), member("s-2", second.address())});
+  bus.publish({member("s-1", first.address()), member("s-2", second.address())});
+  other.publish({member("s-1", first.address()), member("s-2", second.address())});
   start();
   RawSocket client(node->address());
   warm(client);
@@ -333,7 +333,7 @@
   drain();
   node->reload(doc.dump());
   node->reload(moved.dump());
-  other.tell({member("s-1", first.address(), "leaving")});
+  other.publish({member("s-1", first.address(), "leaving")});
   ASSERT_TRUE(run_until([&] { return node->invoker_list().last() == 2; }));
   run_for(250ms);  // the grace
   const std::size_t calls = first.calls().size();
@@ -353,7 +353,7 @@
     doc["settings"]["bounds"]["may_cancel"] = false;
     doc["settings"]["family_info"]["miss_mode"] = "load";
     doc["settings"]["family_info"]["orders"] = false;
-    bus.tell({member("s-1", invoker.address())});
+    bus.publish({member("s-1", invoker.address())});
     start();
     client = RawSocket(node->address());
     client.write(call(1));
@@ -399,13 +399,13 @@
 // The drain is reported between the choice of the invoker and the first byte: after the grace nothing may be
 // sent there.
 TEST_F(DelayedConnect, DoesNotSendToWorkerThatBeganDraining) {
-  bus.tell({member("s-1", invoker.address(), "leaving")});
+  bus.publish({member("s-1", invoker.address(), "leaving")});
   ASSERT_TRUE(run_until([&] { return node->invoker_list().last() == 2; }));
   EXPECT_TRUE(frames_received().empty());
 }
 
 TEST_F(DelayedConnect, DoesNotSendToWorkerMissingFromFullList) {
-  bus.tell_whole({});
+  bus.publish_full_list({});
   ASSERT_TRUE(run_until([&] { return node->invoker_list().last() == 2; }));
   EXPECT_TRUE(frames_received().empty());
 }
@@ -419,7 +419,7 @@
   void SetUp() override {
     doc["settings"]["family_info"]["miss_mode"] = "load";
     doc["settings"]["family_info"]["orders"] = false;
-    bus.tell({member("s-1", invoker.address())});
+    bus.publish({member("s-1", invoker.address())});
     start();
     client = RawSocket(node->address());
     id = next_id;
@@ -614,7 +614,7 @@
 // published since then are unknown, so the comment must not make the list current, and the node reconnects.
 TEST_F(RaceTest, IgnoresBusCommentReadLate) {
   RawListener raw;
-  bus.tell({member("s-1", invoker().address())});
+  bus.publish({member("s-1", invoker().address())});
   doc["bus"] = raw.address().text();
   start();
   RawSocket watch;
@@ -641,13 +641,13 @@
 // The bus connection falls silent, and so does the next one. The drain must still be known within 4 s.
 TEST_F(RaceTest, LearnsOfDrainInTimeAfterTwoSilentConnections) {
   PlatformInvoker &first = invoker(), &second = invoker();
-  bus.tell({member("s-1", first.address()), member("s-2", second.address())});
+  bus.publish({member("s-1", first.address()), member("s-2", second.address())});
   start();
   ASSERT_TRUE(run_until([&] { return node->feed().connected(); }));
   bus.set_silent(true);
-  bus.mute_next(1);
+  bus.ignore_next_requests(1);
   const Time began = loop.now();
-  bus.tell({member("s-1", first.address(), "leaving")});
+  bus.publish({member("s-1", first.address(), "leaving")});
   ASSERT_TRUE(run_until([&] { return node->invoker_list().last() == 2; }));
   EXPECT_EQ(bus.asked(), 3U);
   EXPECT_LT(loop.now() - began, Duration(4s));
