--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -101,7 +101,7 @@
   if (it == open_calls_.end() || it->second->answered) return;
   ++counters_.abandoned;
   it->second->done = [](Answer) {};
-  finish(*it->second, {Answer::Kind::kFailed, "the client disconnected", {}, {}, {}});
+  finish(*it->second, {Answer::Kind::kFailed, "the client went away", {}, {}, {}});
   notify_module([this, id](Time now) { module_->on(now, RequestAbandoned{RequestId{id}}); });
   // Done even if the settings forbid cancelling: an attempt that still waits for a connection would otherwise
   // start after its client has disconnected.
@@ -200,7 +200,7 @@
   Answer answer;
   answer.kind = kind;
   if (open.attempts.empty()) {
-    answer.reason = "no worker had capacity before the deadline";
+    answer.reason = "no worker had room for it in time";
     return answer;
   }
   const Attempt& last = open.attempts.back();
@@ -365,7 +365,7 @@
     answer.body = stream || !open.streamed_body.empty() ? std::move(open.streamed_body) + end.body
                                                         : std::move(end.body);
     if (answer.body.size() > settings_->gateway.most_body)
-      answer = {Answer::Kind::kFailed, "the result is longer than the gateway's limit", {}, {}, {}};
+      answer = {Answer::Kind::kFailed, "the result is longer than the gateway passes on", {}, {}, {}};
     finish(open, std::move(answer));
   } else if (stream && !open.answered) {  // a started stream cannot continue on another attempt
     finish(open, unserved_answer(open, Answer::Kind::kFailed));
--- a/src/controller/invoke.cpp
+++ b/src/controller/invoke.cpp
@@ -144,20 +144,20 @@
   if (tenant) return tenant;
   http::Headers headers;
   headers.add("WWW-Authenticate", authorization ? "Bearer error=\"invalid_token\"" : "Bearer");
-  respond_with_problem(ticket, 401, "a bearer token of a tenant is required", std::move(headers));
+  respond_with_problem(ticket, 401, "a bearer key of a tenant is needed", std::move(headers));
   return std::nullopt;
 }
 
 void InvokeFront::on_request(Ticket ticket, http::Request request) {
   const auto target = http::split_target(request.target);
-  if (!target) return respond_with_problem(ticket, 400, "the request target is not a valid path");
+  if (!target) return respond_with_problem(ticket, 400, "the target is no path, or is badly encoded");
   const std::vector<std::string>& path = target->path;
   const bool read = request.method == "GET" || request.method == "HEAD";
   auto allow_only = [&](bool allowed, const char* methods) {
     if (allowed) return true;
     http::Headers headers;
     headers.add("Allow", methods);
-    respond_with_problem(ticket, 405, "allowed methods: " + std::string(methods), std::move(headers));
+    respond_with_problem(ticket, 405, "the methods here are " + std::string(methods), std::move(headers));
     return false;
   };
   if (path.size() == 2 && path[0] == "v1" && path[1] == "openapi.json") {
@@ -175,7 +175,7 @@
     if (!allow_only(read || request.method == "DELETE", "GET, HEAD, DELETE")) return;
     return handle_show_call(ticket, request, path[2]);
   }
-  respond_with_problem(ticket, 404, "not found; see /v1/openapi.json");
+  respond_with_problem(ticket, 404, "nothing is here; see /v1/openapi.json");
 }
 
 void InvokeFront::handle_call(Ticket ticket, const http::Request& request, const std::string& function) {
@@ -307,7 +307,7 @@
   if (draining_) {
     http::Headers headers;
     headers.add("Retry-After", "1");
-    return respond_with_problem(ticket, 503, "the gateway is shutting down", std::move(headers));
+    return respond_with_problem(ticket, 503, "the gateway is about to stop", std::move(headers));
   }
   if (recorded) {
     http::Headers headers;
@@ -316,8 +316,8 @@
       return respond_with_problem(ticket, 503, why, std::move(headers));
     const ledger::Book::Usage usage = book_->usage(front(parsed.tenant));
     if (usage.records >= options_.most_deferred || usage.bytes >= options_.most_deferred_mb << 20)
-      return respond_with_problem(ticket, 429, "the tenant has reached its limit of deferred and named calls",
-                                  std::move(headers));
+      return respond_with_problem(
+          ticket, 429, "the tenant's deferred and named calls hold as much as they may", std::move(headers));
   }
   OpenCall& open = open_calls_[id];
   open.tenant = parsed.tenant, open.digest = parsed.digest, open.recorded = recorded,
@@ -439,16 +439,16 @@
   const ledger::Record* record = book_ ? book_->find(key(*tenant, id)) : nullptr;
   if (record && record->answer) return respond_with_answer(ticket, id, from_ledger(*record->answer));
   if (record && record->owed) return respond_pending(ticket, id);
-  respond_with_problem(ticket, 404, "no such call, or its answer has expired: " + id);
+  respond_with_problem(ticket, 404, "no such call, or its answer is not kept any more: " + id);
 }
 
 void InvokeFront::handle_forget_call(Ticket ticket, const std::string& id, std::uint32_t tenant) {
   const std::string record_key = book_ ? key(tenant, id) : "";
   const ledger::Record* record = book_ ? book_->find(record_key) : nullptr;
-  if (!record) return respond_with_problem(ticket, 404, "no such call, or its answer has expired: " + id);
+  if (!record)
+    return respond_with_problem(ticket, 404, "no such call, or its answer is not kept any more: " + id);
   if (open_calls_.contains(id) || !record->answer || callbacks_.contains(id))
-    return respond_with_problem(ticket, 409,
-                                "the call is not finished; its answer can be deleted afterwards");
+    return respond_with_problem(ticket, 409, "the call is not over: its answer can be dropped once it is");
   book_->forget(record_key);
   http::Response response;
   response.status = 204;
--- a/src/controller/trigger.cpp
+++ b/src/controller/trigger.cpp
@@ -23,7 +23,7 @@
   if (!value) return {};
   if (const std::string* text = value->text()) return *text;
   if (const auto number = value->number()) return std::to_string(*number);
-  error_text = std::string("header ") + name + " is not a string or number";
+  error_text = std::string("header ") + name + " is not a text";
   return {};
 }
 
@@ -290,7 +290,7 @@
   if (!function) return refuse("unknown function: " + *p.type);
   const RequestClass& request_class = settings.module.classes[function->request_class];
   if (content.body_size > content.body.size())
-    return refuse("body of " + std::to_string(content.body_size) + " bytes; the limit is " +
+    return refuse("body of " + std::to_string(content.body_size) + " bytes; the most is " +
                   std::to_string(settings.gateway.most_body));
   Call& call = parsed.call;
   call.function = function;
@@ -299,7 +299,7 @@
     const auto [end, error] =
         std::from_chars(p.expiration->data(), p.expiration->data() + p.expiration->size(), ms);
     if (error != std::errc() || end != p.expiration->data() + p.expiration->size())
-      return refuse("expiration is not a number of milliseconds: " + *p.expiration);
+      return refuse("expiration is no number of milliseconds: " + *p.expiration);
     constexpr std::uint64_t kHour = 3'600'000;
     call.timeout = std::chrono::milliseconds(std::min(ms, kHour));
   }
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -338,7 +338,7 @@
       default:
         leases.probe_unanswered(id, now);
         if (list_expired && (result.outcome == Outcome::kConnectFailed || result.outcome == Outcome::kReset))
-          mark_suspect(id, "probe not delivered");
+          mark_suspect(id, "question not delivered");
     }
     if (!list_expired) return;
     if (leases.holds(id, now)) send_deferred_orders(id);
@@ -934,8 +934,8 @@
       case Outcome::kError:
         if (load_failed) placement.known_instances = 0;
         break;
-      case Outcome::kConnectFailed: mark_suspect(attempt.worker, "connection failed"); break;
-      case Outcome::kReset: mark_suspect(attempt.worker, "connection lost"); break;
+      case Outcome::kConnectFailed: mark_suspect(attempt.worker, "no connection"); break;
+      case Outcome::kReset: mark_suspect(attempt.worker, "connection broke"); break;
       default: break;
     }
     if (result.terminal) open.answered = true;
@@ -1050,7 +1050,7 @@
                          : unresponsive && worker.probed_at < quiet_since)
         probe_worker(id, worker);
       else if (unresponsive && now - worker.probed_at > kProbeTimeout)
-        mark_suspect(id, "unresponsive");
+        mark_suspect(id, "silent");
     }
     // Requests that may run again leave suspect workers; one that may have run and must not run twice waits.
     for (auto& [id, open] : open_requests)
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -124,8 +124,8 @@
   if (result.verdict == Verdict::kGap || result.verdict == Verdict::kBad) {
     const bool repeated = std::exchange(last_failed_event_, number) == number;
     report_anomaly("event bus: event " + std::to_string(number) + ": " +
-                   (result.verdict == Verdict::kGap ? "an earlier event is missing" : result.why) +
-                   (repeated ? "; requesting all events" : "; requesting it again"));
+                   (result.verdict == Verdict::kGap ? "one before it is missing" : result.why) +
+                   (repeated ? "; all events are asked for" : "; asked for again"));
     // The event may report a draining worker, so it must not be skipped.
     if (repeated && feed_) {
       invoker_list_.start_replay(number);
@@ -133,7 +133,7 @@
     }
     return false;
   }
-  if (!result.why.empty()) report_anomaly("event bus: an event is partly unreadable: " + result.why);
+  if (!result.why.empty()) report_anomaly("event bus: an event that cannot be read in full: " + result.why);
   if (result.verdict != Verdict::kApplied) return true;
   log_list_changes(number, result.changes);
   result.update.from = core_.list().version();
@@ -224,7 +224,7 @@
   front::Reply reply;
   reply.kind = kind;
   if (kind == front::Reply::Kind::kException) {
-    report_anomaly("invalid call: " + reason);
+    report_anomaly("a call that is none: " + reason);
     reply.text = std::move(reason);
   }
   front_.respond(ticket, reply);
--- a/src/platform/feed.cpp
+++ b/src/platform/feed.cpp
@@ -46,7 +46,7 @@
         partial_ += bytes.substr(0, kMaxHeadBytes + 1 - std::min(kMaxHeadBytes, before));
         const std::size_t end = partial_.find("\r\n\r\n");
         if (end == std::string::npos) {
-          if (partial_.size() > kMaxHeadBytes) return fail("response head too long");
+          if (partial_.size() > kMaxHeadBytes) return fail("a head over its bound");
           return true;
         }
         bytes.remove_prefix(end + 4 - before);
@@ -59,18 +59,18 @@
       case State::kChunkEnd: {
         const std::size_t end = bytes.find('\n');
         partial_ += bytes.substr(0, std::min(end, kMaxChunkSizeLineBytes));
-        if (partial_.size() > kMaxChunkSizeLineBytes) return fail("chunk size line too long");
+        if (partial_.size() > kMaxChunkSizeLineBytes) return fail("a chunk's size over its bound");
         if (end == std::string_view::npos) return true;
         bytes.remove_prefix(end + 1);
         const std::string text = std::exchange(partial_, {});
         if (state_ == State::kChunkEnd) {
-          if (!trimmed(text).empty()) return fail("chunk is longer than its size");
+          if (!trimmed(text).empty()) return fail("a chunk longer than it says");
           state_ = State::kChunkSize;
           break;
         }
         const auto size = parse_number(trimmed(std::string_view(text).substr(0, text.find(';'))), 16);
-        if (!size) return fail("chunk size is not a number");
-        if (*size == 0) return fail("the bus ended its response");
+        if (!size) return fail("a chunk's size is no number");
+        if (*size == 0) return fail("the bus ended its answer");
         chunk_left_ = *size, state_ = State::kChunk;
         break;
       }
@@ -90,7 +90,7 @@
 bool EventParser::read_head(std::string_view head) {
   const std::string_view status = head.substr(0, head.find("\r\n"));
   if (!status.starts_with("HTTP/1.") || status.size() < 12 || status.substr(8, 4) != " 200")
-    return fail("unexpected response '" + std::string(status.substr(0, 60)) + "'");
+    return fail("answered '" + std::string(status.substr(0, 60)) + "'");
   state_ = State::kBody;
   while (!head.empty()) {
     const std::size_t end = head.find("\r\n");
@@ -114,7 +114,7 @@
     }
     const std::size_t end = bytes.find_first_of("\r\n");
     const std::string_view part = bytes.substr(0, end);
-    if (line_.size() + part.size() + data_.size() > kMaxEventBytes) return fail("event too long");
+    if (line_.size() + part.size() + data_.size() > kMaxEventBytes) return fail("an event over its bound");
     line_ += part;
     if (end == std::string_view::npos) return true;
     after_cr_ = bytes[end] == '\r';
@@ -138,7 +138,7 @@
   if (value.starts_with(' ')) value.remove_prefix(1);
   if (name == "id") {
     id_ = parse_number(value);
-    if (!id_) return fail("event id is not a number");
+    if (!id_) return fail("an event's id is no number");
   } else if (name == "data") {
     if (!data_.empty()) data_ += '\n';
     data_ += value;
@@ -210,25 +210,24 @@
   if (!ok)
     disconnect(parser_.error());
   else if (gap)
-    disconnect("an event is missing");
+    disconnect("a number is missing");
   else if (read_late)
-    disconnect("read too late; reconnecting to fetch events sent meanwhile");
+    disconnect("read late: what was said meanwhile is asked for");
   else if (now - last_progress_at_ > options_.line_timeout)
-    disconnect("no complete line in time");
+    disconnect("bytes that make no line");
   else if (parser_.comments_read() > 0)
     set_current_until(last_line_sent_at_ + kNotifiedAfter);
   return bytes.size();
 }
 
 void EventSubscriber::on_closed(io::Closed reason) {
-  disconnect(reason == io::Closed::kNeverOpened ? "cannot connect to the bus"
-                                                : "the bus closed the connection");
+  disconnect(reason == io::Closed::kNeverOpened ? "no connection to the bus" : "the bus hung up");
 }
 
 void EventSubscriber::on_silence_timeout() {
   if (parser_.in_body()) return disconnect("silent");
   current_response_timeout_ = std::min(2 * current_response_timeout_, options_.max_response_timeout);
-  disconnect("no response in time");
+  disconnect("no answer");
 }
 
 void EventSubscriber::set_current_until(Time at) {
--- a/src/platform/invoker_list.cpp
+++ b/src/platform/invoker_list.cpp
@@ -60,14 +60,15 @@
   };
   const json doc = json::parse(data, nullptr, false);
   if (!doc.is_object() || !doc.contains("topology") || !doc["topology"].is_object())
-    return fail("not an object with a topology");
+    return fail("no object with a topology");
   const json& topology = doc["topology"];
   const auto complete = topology.find("complete");
-  if (complete != topology.end() && !complete->is_boolean()) return fail("complete is not a boolean");
+  if (complete != topology.end() && !complete->is_boolean())
+    return fail("complete is neither true nor false");
   event.full = complete != topology.end() && complete->get<bool>();
   const auto listed = topology.find("members");
   if (listed == topology.end() || !listed->is_array() || listed->size() > InvokerList::kMaxMembers)
-    return fail("members is not an array or is too long");
+    return fail("members is no list or too long");
   for (const json& entry : *listed) {
     const bool named = entry.is_object() && entry.contains("id") && entry["id"].is_string();
     if (!named && reject_unnamed) return fail("a member without an id");
@@ -107,7 +108,7 @@
                                                                : nullptr;
     if (!current && member.state == WorkerState::kGone) continue;
     if (!current && members_.size() >= kMaxMembers) {
-      result.why = "too many invokers";
+      result.why = "more invokers than can be held";
       continue;
     }
     member.id = current ? current->id : next_id_++;
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -435,8 +435,8 @@
 // Ignores a duplicate answer, a late one, or one to an id that was never sent, up to a limit per connection.
 void Link::on_unexpected_answer(InvokerConnection& connection, std::uint64_t id) {
   events_.on_oddity(worker_, connection.carried.contains(id)
-                                 ? "a duplicate answer, or an answer to a cancelled call"
-                                 : "an answer to an id that was never sent on the connection");
+                                 ? "a copy of an answer, or one to what was given up"
+                                 : "an answer under an id that was never sent there");
   if (++connection.unexpected_answers > options_.max_unexpected_answers)
     close_connection(connection, Outcome::kReset, "answers that nobody waits for");
 }
--- a/tests/platform/feed_test.cpp
+++ b/tests/platform/feed_test.cpp
@@ -153,7 +153,7 @@
   ASSERT_TRUE(bus.start());
   net.run_for(15s);
   EXPECT_EQ(received.back(), 4U);
-  EXPECT_EQ(std::count(disconnects.begin(), disconnects.end(), "no response in time"), 2);
+  EXPECT_EQ(std::count(disconnects.begin(), disconnects.end(), "no answer"), 2);
   const std::size_t asked = bus.asked();
   bus.set_answer_after(Duration(0));
   bus.mute_next(1);
@@ -265,7 +265,7 @@
   net.run_for(3s);
   EXPECT_GT(bus.asked(), asked);
   ASSERT_FALSE(disconnects.empty());
-  EXPECT_EQ(disconnects.back(), "no complete line in time");
+  EXPECT_EQ(disconnects.back(), "bytes that make no line");
   EXPECT_LE(current_until - began, Duration(7s));
   EXPECT_LE(ahead(), Duration(0));
 }
