--- a/bench/hops.cpp
+++ b/bench/hops.cpp
@@ -20,7 +20,7 @@
 
 #include "amqp/endpoint.h"
 #include "http/message.h"
-#include "ledger/book.h"
+#include "ledger/call_ledger.h"
 #include "net/loop.h"
 #include "store/lmdb.h"
 #include "worker/server.h"
@@ -188,7 +188,7 @@
     for (; bytes.size() - used >= o_.answer_bytes; used += o_.answer_bytes) came(next_++);
     return used;
   }
-  void on_closed(lt::io::Closed) override {}
+  void on_closed(lt::io::CloseReason) override {}
 
  protected:
   void send(std::uint64_t) override { out_ += block_; }
@@ -281,7 +281,7 @@
     if (!out.empty()) connection_->write(out);
     return used;
   }
-  void on_closed(lt::io::Closed) override {}
+  void on_closed(lt::io::CloseReason) override {}
 
  private:
   std::unique_ptr<lt::io::Connection> connection_;
@@ -335,7 +335,7 @@
       arms_[next_++ % arms_.size()]->connection->write(bytes.substr(used, o_.ask_bytes));
     return used;
   }
-  void on_closed(lt::io::Closed) override { std::exit(0); }
+  void on_closed(lt::io::CloseReason) override { std::exit(0); }
 
  private:
   struct Arm : lt::io::ConnectionEvents {
@@ -344,7 +344,7 @@
     std::size_t on_bytes(std::string_view bytes) override {
       return relay->source_->write(bytes), bytes.size();
     }
-    void on_closed(lt::io::Closed) override { std::exit(0); }
+    void on_closed(lt::io::CloseReason) override { std::exit(0); }
   };
   const Options& o_;
   std::unique_ptr<lt::io::Connection> source_;
@@ -383,7 +383,7 @@
       }
       return used;
     }
-    void on_closed(lt::io::Closed) override {}
+    void on_closed(lt::io::CloseReason) override {}
   };
   struct Arm : lt::io::ConnectionEvents {
     ListeningRelay* relay = nullptr;
@@ -398,7 +398,7 @@
       }
       return used;
     }
-    void on_closed(lt::io::Closed) override { std::exit(0); }
+    void on_closed(lt::io::CloseReason) override { std::exit(0); }
   };
   const Options& o_;
   std::unique_ptr<lt::io::Listener> listener_;
@@ -442,7 +442,7 @@
       clients.came(number);
       return used;
     }
-    void on_closed(lt::io::Closed) override { std::cerr << "a connection ended\n", std::exit(1); }
+    void on_closed(lt::io::CloseReason) override { std::cerr << "a connection ended\n", std::exit(1); }
   };
   void send(std::uint64_t number) override {
     One& one = *idle_.back();
@@ -500,14 +500,14 @@
     r.function = "f-" + std::to_string(i % 300), r.taken_ms = loop.unix_ms(),
     r.give_up_ms = r.taken_ms + 20'000;
     r.replies = {{"answers", std::to_string(i)}};
-    r.attempts = {{static_cast<std::uint32_t>(i % 14 + 1), r.taken_ms, lt::ledger::Fate::kOut}};
+    r.attempts = {{static_cast<std::uint32_t>(i % 14 + 1), r.taken_ms, lt::ledger::AttemptState::kInFlight}};
     opened.store->put(lt::ledger::key_of("amqp/broker-0/calls", "call-" + std::to_string(i)),
                       lt::ledger::write_record(r));
   }
   struct Events : lt::store::StoreEvents {
     lt::net::Loop* loop = nullptr;
-    void on_trouble(const std::string& why, bool) override { std::cerr << why << '\n', loop->stop(); }
-    void on_well() override {}
+    void on_write_failed(const std::string& why, bool) override { std::cerr << why << '\n', loop->stop(); }
+    void on_write_recovered() override {}
     void on_durable(std::size_t) override { loop->stop(); }
   } events;
   events.loop = &loop;
--- a/fuzz/frames.cpp
+++ b/fuzz/frames.cpp
@@ -17,7 +17,7 @@
     std::string out;
     void on_open() override { c->write(out); }
     std::size_t on_bytes(std::string_view b) override { return b.size(); }
-    void on_closed(io::Closed) override { c.reset(); }
+    void on_closed(io::CloseReason) override { c.reset(); }
   };
   std::vector<std::unique_ptr<Invoker>> invokers;
   const auto listener = net.listen({"127.0.0.1", 80}, {}, [&](std::unique_ptr<io::Connection> c) {
--- a/fuzz/http.cpp
+++ b/fuzz/http.cpp
@@ -47,7 +47,7 @@
     std::string out;
     void on_open() override { c->write(out); }
     std::size_t on_bytes(std::string_view b) override { return b.size(); }
-    void on_closed(io::Closed) override {}
+    void on_closed(io::CloseReason) override {}
   } peer;
   peer.out = bytes;
   peer.c = net.connect({"127.0.0.1", 80}, {}, peer);
--- a/fuzz/worker.cpp
+++ b/fuzz/worker.cpp
@@ -21,7 +21,7 @@
   std::string out;
   void on_open() override { c->write(out); }
   std::size_t on_bytes(std::string_view b) override { return b.size(); }
-  void on_closed(io::Closed) override {}
+  void on_closed(io::CloseReason) override {}
 };
 }  // namespace
 
--- a/src/amqp/endpoint.cpp
+++ b/src/amqp/endpoint.cpp
@@ -308,11 +308,11 @@
   patience_->start(options_.close_within);
 }
 
-void Endpoint::on_closed(io::Closed why) {
+void Endpoint::on_closed(io::CloseReason why) {
   if (state_ == State::kClosing) return ended(close_reason_);
-  ended(why == io::Closed::kNeverOpened ? "no connection"
-        : why == io::Closed::kByPeer    ? "the peer closed the connection"
-                                        : "the connection broke");
+  ended(why == io::CloseReason::kNeverOpened ? "no connection"
+        : why == io::CloseReason::kByPeer    ? "the peer closed the connection"
+                                             : "the connection broke");
 }
 
 void Endpoint::ended(const std::string& why) {
--- a/src/amqp/endpoint.h
+++ b/src/amqp/endpoint.h
@@ -75,7 +75,7 @@
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
   void on_drained() override { events_.on_writable(); }
-  void on_closed(io::Closed why) override;
+  void on_closed(io::CloseReason why) override;
 
  private:
   enum class State { kIdle, kProtocol, kStart, kTune, kOpening, kOpen, kClosing, kEnded };
--- a/src/apps/laureltide.cpp
+++ b/src/apps/laureltide.cpp
@@ -176,11 +176,11 @@
                                        [this](std::function<void()> what) { loop_.post(std::move(what)); });
     if (!opened.store) throw std::runtime_error(opened.why);
     store_ = std::move(opened.store);
-    lt::ledger::BookOptions options;
+    lt::ledger::CallLedgerOptions options;
     options.most_records = settings_->ledger.most_records;
     options.most_bytes = settings_->ledger.most_mb << 20;
     options.keep = settings_->ledger.keep;
-    book_ = std::make_unique<lt::ledger::Book>(loop_, *store_, options);
+    book_ = std::make_unique<lt::ledger::CallLedger>(loop_, *store_, options);
     if (const auto why = book_->load())
       throw std::runtime_error("the ledger in " + settings_->ledger.directory + " cannot be used: " + *why);
     const double ms = std::chrono::duration<double, std::milli>(loop_.now() - began).count();
@@ -188,7 +188,7 @@
                                                      " records read in " +
                                                      std::to_string(static_cast<int>(ms)) + " ms");
     if (!die_at.step.empty())
-      book_->on_step = [die_at](const char* step) mutable {
+      book_->on_crash_point = [die_at](const char* step) mutable {
         if (die_at.step == step && --die_at.times == 0) raise(SIGKILL);
       };
   }
@@ -227,7 +227,7 @@
   bool json_;
   std::unique_ptr<Keeper> keeper_;
   std::unique_ptr<lt::store::Store> store_;
-  std::unique_ptr<lt::ledger::Book> book_;
+  std::unique_ptr<lt::ledger::CallLedger> book_;
   std::unique_ptr<lt::controller::Gateway> gateway_;
   std::unique_ptr<lt::io::Timer> poll_;
   std::filesystem::file_time_type list_written_{};
@@ -283,7 +283,7 @@
                    "for tests: STEP or STEP:N, the ledger's step at which the process kills itself")
       ->check([](const std::string& text) {
         const std::string step = text.substr(0, text.find(':'));
-        for (const char* known : lt::ledger::kSteps)
+        for (const char* known : lt::ledger::kCrashPoints)
           if (step == known) return std::string();
         return "no such step: " + step;
       });
--- a/src/apps/ledger_tool.cpp
+++ b/src/apps/ledger_tool.cpp
@@ -10,7 +10,7 @@
 namespace laureltide::apps {
 namespace {
 
-using ledger::Fate;
+using ledger::AttemptState;
 using ledger::Record;
 using nlohmann::json;
 
@@ -42,7 +42,7 @@
   for (const auto& a : r.attempts)
     attempts.push_back({{"worker", a.worker},
                         {"sent_ms", a.sent_ms},
-                        {"fate", a.fate == Fate::kNeverRan ? "never-ran" : "may-have-run"}});
+                        {"fate", a.state == AttemptState::kNeverRan ? "never-ran" : "may-have-run"}});
   json doc{{"front", front},
            {"call", name},
            {"state", state_of(r)},
@@ -93,12 +93,12 @@
   store::LmdbOptions options;
   options.directory = directory, options.check = ledger::check_entry;
   if (*compact) {
-    const std::string why = store::copy_compact(options, to);
+    const std::string why = store::copy_compacted(options, to);
     if (!why.empty()) return std::cerr << "laureltide ledger: " << why << '\n', 1;
     return std::cout << directory << " copied to " << to << '\n', 0;
   }
   std::size_t shown = 0, open = 0;
-  const store::Walked walked = store::walk(options, [&](std::string_view key, std::string_view value) {
+  const store::ScanResult walked = store::scan(options, [&](std::string_view key, std::string_view value) {
     std::string why;
     const auto record = ledger::parse_record(value, why);
     const auto [f, n] = ledger::split_key(key);
--- a/src/base/io.h
+++ b/src/base/io.h
@@ -28,7 +28,7 @@
 // "127.0.0.1:5672"; nothing on anything else.
 std::optional<Address> parse_address(std::string_view text);
 
-enum class Closed {
+enum class CloseReason {
   kNeverOpened,  // refused, unreachable or not made in time: no byte can have arrived
   kByPeer,       // the peer ended it in order
   kBroken,       // reset, or the host gave up on it
@@ -60,7 +60,7 @@
   virtual std::size_t on_bytes(std::string_view bytes) = 0;
   // The unsent bytes fell under the host's low mark after write() had gone over it.
   virtual void on_drained() {}
-  virtual void on_closed(Closed why) = 0;  // the last event
+  virtual void on_closed(CloseReason why) = 0;  // the last event
 };
 
 class Timer {
@@ -109,10 +109,10 @@
 // What is done later on the loop, after the current event: owners of connections put their dead ones here
 // instead of destroying an object that is still on the call stack.
 template <class T>
-class Graveyard {
+class DeferredDeleter {
  public:
-  explicit Graveyard(Host& host) : timer_(host.timer([this] { dead_.clear(); })) {}
-  void bury(std::unique_ptr<T> dead) {
+  explicit DeferredDeleter(Host& host) : timer_(host.timer([this] { dead_.clear(); })) {}
+  void delete_later(std::unique_ptr<T> dead) {
     if (!dead) return;
     if (dead_.empty()) timer_->start(Duration(0));
     dead_.push_back(std::move(dead));
--- a/src/controller/claim.cpp
+++ b/src/controller/claim.cpp
@@ -66,7 +66,8 @@
     return {Claim::Kind::kMismatch, 0, "this Idempotency-Key was used for another request"};
   if (record->answer) return {Claim::Kind::kAnswer, 0, {}};
   // All that was ever sent for it is in this ledger: the key is ours alone.
-  const ledger::Ruling r = ledger::rule_on_message(record, effect, true, ledger::Coverage::kWhole, now_ms);
+  const ledger::RecoveryDecision r =
+      ledger::decide_on_message(record, effect, true, ledger::Coverage::kComplete, now_ms);
   switch (r.verdict) {
     case ledger::Verdict::kRun: return {};
     case ledger::Verdict::kRunUntil: return {Claim::Kind::kRunUntil, r.until_ms, {}};
--- a/src/controller/claim.h
+++ b/src/controller/claim.h
@@ -22,7 +22,7 @@
 #include <string>
 #include <string_view>
 
-#include "ledger/ruling.h"
+#include "ledger/recovery.h"
 
 namespace laureltide::controller {
 
--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -247,7 +247,7 @@
   // Rule 2 across a crash: the next life must know of it before a worker can.
   open.attempts[number].waits = true;
   open.attempts[number].recorded =
-      book_->attempt(open.call.record, static_cast<std::uint32_t>(worker), [this, word, alive = alive_] {
+      book_->add_attempt(open.call.record, static_cast<std::uint32_t>(worker), [this, word, alive = alive_] {
         if (*alive) dispatch(word);
       });
 }
@@ -291,7 +291,7 @@
   call.request_class = settings_->class_names[open.call.function->request_class];
   if (open.call.tenant) call.tenant = settings_->tenant_names[*open.call.tenant];
   to->call(std::move(call), open.call.body, word);
-  if (attempt.recorded) book_->step("attempt-sent");
+  if (attempt.recorded) book_->crash_point("attempt-sent");
 }
 
 void Core::cancel(RequestId request, AttemptNumber attempt) {
@@ -344,11 +344,11 @@
   if (attempt.waits) {  // whatever ended it: it never left
     if (end.outcome == Outcome::kTimeout) end.outcome = Outcome::kNotRun;
     attempt.waits = false;
-    book_->never_ran(open.call.record, *attempt.recorded);
+    book_->mark_never_ran(open.call.record, *attempt.recorded);
   } else if (attempt.recorded &&
              (end.outcome == Outcome::kFull || end.outcome == Outcome::kMiss ||
               end.outcome == Outcome::kConnectFailed || end.outcome == Outcome::kNotRun)) {
-    book_->never_ran(open.call.record, *attempt.recorded);
+    book_->mark_never_ran(open.call.record, *attempt.recorded);
   }
   attempt.outcome = end.outcome;
   attempt.ended = host_.now();
@@ -481,7 +481,7 @@
     fresh = own_protocol(worker, member->address);
   worker::Port* made = fresh.get();
   if (it != links_.end())
-    dead_links_.bury(std::exchange(it->second, std::move(fresh)));
+    dead_links_.delete_later(std::exchange(it->second, std::move(fresh)));
   else
     links_[worker] = std::move(fresh);
   return made;
@@ -502,7 +502,7 @@
     const members::Member* member = list_.find(it->first);
     const bool gone = !member || member->state == WorkerState::kGone;
     if (gone && it->second->idle()) {
-      dead_links_.bury(std::move(it->second));
+      dead_links_.delete_later(std::move(it->second));
       it = links_.erase(it);
     } else {
       ++it;
@@ -530,7 +530,7 @@
     const members::Member* m = list_.find(id);
     const auto link = links_.find(id);
     if (!m || m->started_unix_ms == before || link == links_.end() || !link->second->idle()) continue;
-    dead_links_.bury(std::move(link->second));
+    dead_links_.delete_later(std::move(link->second));
     links_.erase(link);
   }
   prune_links();
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -17,7 +17,7 @@
 
 #include "base/io.h"
 #include "config/settings.h"
-#include "ledger/book.h"
+#include "ledger/call_ledger.h"
 #include "members/list.h"
 #include "worker/port.h"
 
@@ -86,7 +86,7 @@
   struct Options {
     std::uint64_t seed = 1;
     std::uint32_t first_request_id = 1;  // ids wrap; a test starts close to the end
-    ledger::Book* book = nullptr;        // outlives the core
+    ledger::CallLedger* book = nullptr;  // outlives the core
     // Makes the end towards a worker; absent: the project's own protocol (worker::Link).
     std::function<std::unique_ptr<worker::Port>(WorkerId, const io::Address&, worker::LinkEvents&)> port = {};
     std::size_t max_function_names =
@@ -226,7 +226,7 @@
   Options options_;
   std::shared_ptr<const config::Settings> settings_;
   CoreEvents& events_;
-  ledger::Book* book_;
+  ledger::CallLedger* book_;
   members::WorkerList list_;
   std::int64_t started_unix_ms_;
   Duration wall_offset_{};
@@ -238,7 +238,7 @@
   Calls open_;
   std::uint32_t next_request_;
   std::map<WorkerId, std::unique_ptr<worker::Port>> links_;
-  io::Graveyard<worker::Port> dead_links_;
+  io::DeferredDeleter<worker::Port> dead_links_;
   std::unordered_map<std::uint64_t, Order> orders_;
   std::uint64_t next_order_ = 1;
   std::priority_queue<Alarm> alarms_;
--- a/src/controller/gateway.cpp
+++ b/src/controller/gateway.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kDrainLook = std::chrono::milliseconds(20);
 
 Gateway::Gateway(io::Host& host, std::shared_ptr<const config::Settings> settings, GatewayEvents& events,
-                 std::uint64_t seed, std::uint32_t first_request_id, ledger::Book* book)
+                 std::uint64_t seed, std::uint32_t first_request_id, ledger::CallLedger* book)
     : host_(host),
       settings_(std::move(settings)),
       events_(events),
@@ -34,8 +34,9 @@
 void Gateway::start() {
   if (book_)
     book_->on_state = [this](bool well) {
-      events_.on_log_line(well ? LogLevel::kInfo : LogLevel::kError,
-                          well ? "ledger: written again" : "ledger: cannot be written: " + book_->trouble());
+      events_.on_log_line(
+          well ? LogLevel::kInfo : LogLevel::kError,
+          well ? "ledger: written again" : "ledger: cannot be written: " + book_->write_error());
     };
   if (settings_->list.service) {
     follower_ = std::make_unique<members::ListSubscriber>(
--- a/src/controller/gateway.h
+++ b/src/controller/gateway.h
@@ -24,7 +24,7 @@
 class Gateway : public CoreEvents {
  public:
   Gateway(io::Host& host, std::shared_ptr<const config::Settings> settings, GatewayEvents& events,
-          std::uint64_t seed, std::uint32_t first_request_id = 1, ledger::Book* book = nullptr);
+          std::uint64_t seed, std::uint32_t first_request_id = 1, ledger::CallLedger* book = nullptr);
   ~Gateway() override;
 
   // The list of an earlier life; before start().
@@ -57,7 +57,7 @@
   io::Host& host_;
   std::shared_ptr<const config::Settings> settings_;
   GatewayEvents& events_;
-  ledger::Book* book_;  // outlives the gateway; none: nothing outlives the process
+  ledger::CallLedger* book_;  // outlives the gateway; none: nothing outlives the process
   Core core_;
   std::vector<std::unique_ptr<TriggerFront>> fronts_;
   std::vector<std::unique_ptr<TriggerFront>> leaving_;  // of brokers that a reload dropped
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -7,10 +7,10 @@
 // Nothing of this life names it: what an earlier one left behind rules.
 Intake::Heard Intake::unknown(const std::string& name, Delivery delivery, bool redelivered,
                               const ledger::Effect& effect) {
-  ledger::Book* book = options_.book;
-  const ledger::Ruling ruling =
-      book ? book->on_message(options_.front, name, effect, redelivered)
-           : ledger::rule_on_message(nullptr, effect, redelivered, ledger::Coverage::kNone, 0);
+  ledger::CallLedger* book = options_.book;
+  const ledger::RecoveryDecision ruling =
+      book ? book->decide(options_.front, name, effect, redelivered)
+           : ledger::decide_on_message(nullptr, effect, redelivered, ledger::Coverage::kNone, 0);
   switch (ruling.verdict) {
     case ledger::Verdict::kRun:
       records_[name].deliveries.push_back(std::move(delivery));
@@ -90,7 +90,8 @@
       std::erase_if(record.deliveries, [&](const Delivery& d) { return d.epoch == epoch && d.tag == tag; });
   if (!certain) record.unsure += gone;
   if (options_.book && gone > 0 && record.deliveries.empty())
-    options_.book->delivered(key(name), certain ? ledger::Delivered::kCertain : ledger::Delivered::kUnsure);
+    options_.book->delivered(
+        key(name), certain ? ledger::AfterDelivery::kDropRecord : ledger::AfterDelivery::kKeepWithoutAnswer);
   if (record.deliveries.empty() && record.unsure == 0) records_.erase(it);
 }
 
@@ -111,7 +112,7 @@
     const bool stands = it != records_.end() && it->second.answer && it->second.answered_at == at;
     if (stands && now - at < options_.keep_answers && records_.size() <= options_.most_names) return;
     if (stands) {
-      if (options_.book) options_.book->leave(key(name));
+      if (options_.book) options_.book->release(key(name));
       records_.erase(it);
     }
     answered_.pop_front();
--- a/src/controller/intake.h
+++ b/src/controller/intake.h
@@ -11,8 +11,9 @@
 //   answered and         | no                 | any        | run: another message of an old name
 //   acknowledged, unsure |                    |            |
 //   unknown              | any                | any        | as the ledger's record of an earlier life rules
-//                        |                    |            | (ledger/ruling.h); without one: run what was not
-//                        |                    |            | given before or may be repeated, fail the rest
+//                        |                    |            | (ledger/recovery.h); without one: run what was
+//                        not |                    |            | given before or may be repeated, fail the
+//                        rest
 //
 // A delivery belongs to an epoch, a life of the channel that brought it. When the epoch ends, the broker
 // gives the message again, perhaps to another consumer: an answer leaves only with a delivery that still
@@ -30,7 +31,7 @@
 #include <vector>
 
 #include "controller/core.h"
-#include "ledger/book.h"
+#include "ledger/call_ledger.h"
 
 namespace laureltide::controller {
 
@@ -44,9 +45,9 @@
   struct Options {
     std::size_t most_names = 100'000;
     Duration keep_answers = std::chrono::seconds(120);
-    std::size_t most_joined = 16;  // messages that wait for one call; over it: refused
-    ledger::Book* book = nullptr;  // none: nothing is known of earlier lives
-    std::string front;             // this queue's name in the book
+    std::size_t most_joined = 16;        // messages that wait for one call; over it: refused
+    ledger::CallLedger* book = nullptr;  // none: nothing is known of earlier lives
+    std::string front;                   // this queue's name in the book
   };
   explicit Intake(Options options) : options_(std::move(options)) {}
 
--- a/src/controller/invoke.cpp
+++ b/src/controller/invoke.cpp
@@ -34,7 +34,7 @@
 }  // namespace
 
 InvokeFront::InvokeFront(io::Host& host, Core& core, const config::Settings& settings, Log log,
-                         ledger::Book* book)
+                         ledger::CallLedger* book)
     : host_(host),
       core_(core),
       options_(settings.invoke),
@@ -290,7 +290,7 @@
       // It stays so: a client that asks again is told the same.
       Answer failed{Answer::Kind::kFailed, found.reason, {}, {}, {}};
       book_->answer(record_key, to_ledger(failed), [] {});
-      book_->delivered(record_key, ledger::Delivered::kKept, ms(options_.keep));
+      book_->delivered(record_key, ledger::AfterDelivery::kKeepAnswer, ms(options_.keep));
       return say(ticket, id, failed);
     }
     case Claim::Kind::kRun:
@@ -304,9 +304,9 @@
   if (recorded) {
     http::Headers headers;
     headers.add("Retry-After", "1");
-    if (const std::string why = book_->closed(); !why.empty())
+    if (const std::string why = book_->refusal_reason(); !why.empty())
       return problem(ticket, 503, why, std::move(headers));
-    const ledger::Book::Usage usage = book_->usage(front(w.tenant));
+    const ledger::CallLedger::Usage usage = book_->usage(front(w.tenant));
     if (usage.records >= options_.most_deferred || usage.bytes >= options_.most_deferred_mb << 20)
       return problem(ticket, 429, "the tenant's deferred and named calls hold as much as they may",
                      std::move(headers));
@@ -388,7 +388,7 @@
     if (!record->callback.empty()) return give_callback(id, tenant);
     // What was refused did not run: a repeat under the same key is run anew, and needs no record.
     if (!deferred && answer.kind == Answer::Kind::kRefused) return book_->forget(record_key);
-    book_->delivered(record_key, ledger::Delivered::kKept, ms(options_.keep));
+    book_->delivered(record_key, ledger::AfterDelivery::kKeepAnswer, ms(options_.keep));
   };
   if (!it->second.recorded) return give();
   book_->answer(key(tenant, id), to_ledger(answer), [give, alive = alive_] {
@@ -479,7 +479,7 @@
                          {"outcome", text_of(answer.kind)},
                          {"call", c.id}});
   }
-  book_->step("callback-given");
+  book_->crash_point("callback-given");
   c.exchange = std::make_unique<http::Exchange>(
       host_, url->address, request, kCallbackWithin, http::Limits{},
       [this, id = c.id](const http::Exchange::Result& r) {
@@ -502,8 +502,8 @@
   const auto it = callbacks_.find(id);
   if (it == callbacks_.end()) return;
   // Whether or not it was taken, the answer can still be asked for.
-  book_->delivered(key(it->second->tenant, id), ledger::Delivered::kKept, ms(options_.keep));
-  done_callbacks_.bury(std::move(it->second));
+  book_->delivered(key(it->second->tenant, id), ledger::AfterDelivery::kKeepAnswer, ms(options_.keep));
+  done_callbacks_.delete_later(std::move(it->second));
   callbacks_.erase(it);
   if (callback_line_.empty()) return;
   const auto [next, tenant] = callback_line_.front();
@@ -516,7 +516,7 @@
 void InvokeFront::recover() {
   for (std::uint32_t t = 0; t < tenant_names_.size(); ++t)
     for (const std::string& found : book_->owed(front(t))) {
-      book_->step("owed-found");
+      book_->crash_point("owed-found");
       backlog_.emplace_back(t, ledger::split_key(found).second);
     }
   if (!backlog_.empty())
@@ -537,7 +537,7 @@
       if (!record->callback.empty())
         give_callback(id, tenant);
       else
-        book_->delivered(record_key, ledger::Delivered::kKept, ms(options_.keep));
+        book_->delivered(record_key, ledger::AfterDelivery::kKeepAnswer, ms(options_.keep));
       continue;
     }
     Open& open = open_[id];
--- a/src/controller/invoke.h
+++ b/src/controller/invoke.h
@@ -25,7 +25,7 @@
   using Ticket = http::Server::Ticket;
   using Log = std::function<void(bool warn, const std::string& line)>;
   InvokeFront(io::Host& host, Core& core, const config::Settings& settings, Log log,
-              ledger::Book* book = nullptr);
+              ledger::CallLedger* book = nullptr);
   ~InvokeFront() override;
 
   bool listen(const io::Address& at) { return server_.listen(at); }
@@ -96,7 +96,7 @@
   std::vector<std::string> tenant_names_;
   Keyring keyring_;
   Log log_;
-  ledger::Book* book_;
+  ledger::CallLedger* book_;
   http::Server server_;
   std::map<std::string, Open> open_;
   std::map<Ticket, std::string> waiting_;
@@ -105,7 +105,7 @@
   std::unique_ptr<io::Timer> room_;
   std::map<std::string, std::unique_ptr<Callback>> callbacks_;
   std::deque<std::pair<std::string, std::uint32_t>> callback_line_;
-  io::Graveyard<Callback> done_callbacks_;
+  io::DeferredDeleter<Callback> done_callbacks_;
   bool draining_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/controller/owed.cpp
+++ b/src/controller/owed.cpp
@@ -16,7 +16,7 @@
   // Without its function nothing is known of its class: the strictest holds.
   const ledger::Effect effect =
       function ? effect_of(settings.module.classes[function->request_class]) : ledger::Effect{};
-  ledger::Ruling ruling = ledger::rule_on_owed(record, effect, now_ms);
+  ledger::RecoveryDecision ruling = ledger::decide_on_owed(record, effect, now_ms);
   const bool runs = ruling.verdict == Verdict::kRun || ruling.verdict == Verdict::kRunUntil;
   if (runs && !function) {
     ruling.verdict = record.may_have_run() ? Verdict::kFail : Verdict::kRefuse;
--- a/src/controller/owed.h
+++ b/src/controller/owed.h
@@ -7,7 +7,7 @@
 
 #include "config/settings.h"
 #include "controller/core.h"
-#include "ledger/ruling.h"
+#include "ledger/recovery.h"
 
 namespace laureltide::controller {
 
--- a/src/controller/peers.cpp
+++ b/src/controller/peers.cpp
@@ -24,7 +24,7 @@
     }
     return used;
   }
-  void on_closed(io::Closed) override { leave(); }
+  void on_closed(io::CloseReason) override { leave(); }
 
  private:
   void leave() {
@@ -32,7 +32,7 @@
     if (it == owner_.in_.end()) return;
     auto self = std::move(it->second);
     owner_.in_.erase(it);
-    owner_.dead_.bury(std::move(self));
+    owner_.dead_.delete_later(std::move(self));
   }
   Peers& owner_;
   std::unique_ptr<io::Connection> connection_;
@@ -46,7 +46,7 @@
     if (connection_->unsent() < kMostUnsent) connection_->write(bytes);
   }
   std::size_t on_bytes(std::string_view bytes) override { return bytes.size(); }
-  void on_closed(io::Closed) override { connection_.reset(); }  // the next message tries again
+  void on_closed(io::CloseReason) override { connection_.reset(); }  // the next message tries again
 
  private:
   io::Host& host_;
--- a/src/controller/peers.h
+++ b/src/controller/peers.h
@@ -34,7 +34,7 @@
   bool wanted_ = false;
   std::map<std::uint32_t, std::unique_ptr<Outbound>> out_;
   std::map<Inbound*, std::unique_ptr<Inbound>> in_;
-  io::Graveyard<Inbound> dead_;
+  io::DeferredDeleter<Inbound> dead_;
   std::unique_ptr<io::Listener> listener_;
 };
 
--- a/src/controller/trigger.cpp
+++ b/src/controller/trigger.cpp
@@ -41,7 +41,7 @@
 }  // namespace
 
 TriggerFront::TriggerFront(io::Host& host, Core& core, config::Broker broker, std::string gateway_name,
-                           Log log, ledger::Book* book)
+                           Log log, ledger::CallLedger* book)
     : host_(host),
       core_(core),
       broker_(std::move(broker)),
@@ -72,7 +72,8 @@
   }
   if (book_)
     for (const auto& queue : queues_) {
-      broker_.sole_reader ? book_->begin_tenure(queue->front) : book_->end_tenure(queue->front);
+      broker_.sole_reader ? book_->begin_exclusive_reading(queue->front)
+                          : book_->end_exclusive_reading(queue->front);
       recover(*queue);
     }
   again_->start(Duration(0));
@@ -116,7 +117,7 @@
 
 void TriggerFront::on_ended(const std::string& why) {
   log_(true, "broker " + broker_.name + ": connection ended: " + why);
-  dead_.bury(std::move(endpoint_));
+  dead_.delete_later(std::move(endpoint_));
   for (const auto& queue : queues_) channel_lost(*queue);
   if (!(draining_ && drained())) again_->start(jittered(back_off_));
 }
@@ -193,7 +194,7 @@
   } else if (const auto* left = std::get_if<amqp::QueueDeclareOk>(&method)) {
     queue->asking = false;
     if (left->message_count == 0 && queue->unsettled == 0 && queue->consuming)
-      book_->whole(queue->front);
+      book_->mark_complete(queue->front);
     else
       queue->look->start(kCoverageLook);
   } else if (std::holds_alternative<amqp::BasicCancel>(method)) {
@@ -204,7 +205,7 @@
     queue->again->start(jittered(queue->back_off));
   } else if (std::holds_alternative<amqp::TxCommitOk>(method)) {
     queue->commit_out = false;
-    if (book_) book_->step("commit-known");
+    if (book_) book_->crash_point("commit-known");
     for (const Reply& reply : std::exchange(queue->committing, {})) settle(*queue, reply);
     pump(*queue);
   } else if (const auto* ack = std::get_if<amqp::BasicAck>(&method)) {
@@ -258,7 +259,7 @@
       book_ && parsed->named &&
       (on_take || parsed->effect.semantics != Semantics::kRepeatable || core_.settings().ledger.all_calls);
   if (recorded) {
-    if (const std::string why = book_->closed(); !why.empty()) {
+    if (const std::string why = book_->refusal_reason(); !why.empty()) {
       --queue.unsettled;
       give_back(queue, deliver.delivery_tag);
       return pause(why);
@@ -398,7 +399,7 @@
   const ledger::Record* known = book_->find(key);
   if (known && parsed.redelivered) {
     // Only its acknowledgement was lost. It is made again once what we know of it is on disk.
-    return book_->settle([this, &queue, name, delivery = parsed.delivery, alive = alive_] {
+    return book_->when_durable([this, &queue, name, delivery = parsed.delivery, alive = alive_] {
       if (*alive) acknowledge(queue, name, delivery);
     });
   }
@@ -418,8 +419,8 @@
                  {name, {0, 0, to.to, to.correlation}, std::make_shared<Answer>(told(name, *record)), true});
         });
   }
-  const ledger::Ruling ruling =
-      book_->on_message(queue.front, name, parsed.effect, parsed.redelivered && !known);
+  const ledger::RecoveryDecision ruling =
+      book_->decide(queue.front, name, parsed.effect, parsed.redelivered && !known);
   if (ruling.verdict == ledger::Verdict::kFail)
     return turn_away(queue, std::move(parsed.delivery), Answer::Kind::kFailed, ruling.reason, name);
   if (!room_for(queue).empty()) {  // it stays unacknowledged, and prefetch bounds how many do
@@ -468,7 +469,8 @@
   for (const ledger::ReplyTo& to : record->replies)
     if (!to.to.empty()) replies.push_back({name, {0, 0, to.to, to.correlation}, said, true});
   if (replies.empty())  // nobody asked for it; its message may still come once more
-    return book_->delivered(queue.intake.key(name), ledger::Delivered::kUnsure, kLostAcknowledgement);
+    return book_->delivered(queue.intake.key(name), ledger::AfterDelivery::kKeepWithoutAnswer,
+                            kLostAcknowledgement);
   queue.unpublished[name] += replies.size();
   for (Reply& reply : replies) answer(queue, std::move(reply));
 }
@@ -481,7 +483,7 @@
 // What this gateway owed when it ended is taken up again, oldest first, before anything new.
 void TriggerFront::recover(Queue& queue) {
   for (std::string& key : book_->owed(queue.front)) {
-    book_->step("owed-found");
+    book_->crash_point("owed-found");
     queue.backlog.push_back(std::move(key));
   }
   if (!queue.backlog.empty())
@@ -526,7 +528,7 @@
 
 void TriggerFront::look_at_pause() {
   if (!paused_) return;
-  if (!book_->closed().empty()) return pause_look_->start(kPauseLook);
+  if (!book_->refusal_reason().empty()) return pause_look_->start(kPauseLook);
   paused_ = false;
   log_(false, "broker " + broker_.name + ": calls are taken again");
   if (!endpoint_ || !endpoint_->ready() || draining_) return;
@@ -545,7 +547,7 @@
 // nothing of it here. From then on whatever comes redelivered was given to this gateway alone.
 void TriggerFront::look_at_coverage(Queue& queue) {
   if (!broker_.sole_reader || queue.asking || !queue.standing || !endpoint_ || !endpoint_->ready()) return;
-  if (book_->coverage(queue.front) == ledger::Coverage::kWhole) return;
+  if (book_->coverage(queue.front) == ledger::Coverage::kComplete) return;
   amqp::QueueDeclare ask;
   ask.queue = queue.name;
   ask.passive = true;
@@ -603,7 +605,7 @@
     queue.committing = std::exchange(queue.uncommitted, {});
     queue.commit_out = true;
     endpoint_->send(queue.channel, amqp::TxCommit{});
-    if (book_) book_->step("commit-sent");
+    if (book_) book_->crash_point("commit-sent");
   }
   hold_back();
 }
@@ -624,7 +626,7 @@
       p.headers->set("retry-after-ms",
                      static_cast<std::int64_t>(reply.answer->retry_after.count() / 1'000'000));
     endpoint_->send_content(queue.channel, method, p, reply.answer->body);
-    if (book_) book_->step("answer-given");
+    if (book_) book_->crash_point("answer-given");
   }
   if (reply.owed) return void(queue.unconfirmed.emplace(++queue.published, std::move(reply)));
   if (transactions || !wanted) endpoint_->send(queue.channel, amqp::BasicAck{reply.delivery.tag, false});
@@ -647,9 +649,10 @@
     const auto acknowledged = queue.acknowledged.find(reply.name);
     const bool certain = acknowledged != queue.acknowledged.end() && acknowledged->second == queue.epoch;
     if (acknowledged != queue.acknowledged.end()) queue.acknowledged.erase(acknowledged);
-    return book_->delivered(queue.intake.key(reply.name),
-                            certain ? ledger::Delivered::kCertain : ledger::Delivered::kUnsure,
-                            kLostAcknowledgement);
+    return book_->delivered(
+        queue.intake.key(reply.name),
+        certain ? ledger::AfterDelivery::kDropRecord : ledger::AfterDelivery::kKeepWithoutAnswer,
+        kLostAcknowledgement);
   }
   if (queue.unsettled > 0) --queue.unsettled;
   if (!reply.name.empty())
--- a/src/controller/trigger.h
+++ b/src/controller/trigger.h
@@ -26,7 +26,7 @@
  public:
   using Log = std::function<void(bool warn, const std::string& line)>;
   TriggerFront(io::Host& host, Core& core, config::Broker broker, std::string gateway_name, Log log,
-               ledger::Book* book = nullptr);
+               ledger::CallLedger* book = nullptr);
   ~TriggerFront() override;
 
   // Takes nothing more: consumers are cancelled, what comes meanwhile is given back.
@@ -127,8 +127,8 @@
   std::string gateway_name_;
   Log log_;
   std::unique_ptr<amqp::Endpoint> endpoint_;
-  io::Graveyard<amqp::Endpoint> dead_;
-  ledger::Book* book_;
+  io::DeferredDeleter<amqp::Endpoint> dead_;
+  ledger::CallLedger* book_;
   std::vector<std::unique_ptr<Queue>> queues_;
   std::unique_ptr<io::Timer> again_, pause_look_;
   Duration back_off_;
--- a/src/front/server.cpp
+++ b/src/front/server.cpp
@@ -43,7 +43,7 @@
       half_since_ = now;
     return used;
   }
-  void on_closed(io::Closed) override { server_.drop(*this); }
+  void on_closed(io::CloseReason) override { server_.drop(*this); }
 
   void answer(Ticket ticket, const Reply& reply) {
     const auto it = numbers_.find(ticket);
@@ -223,7 +223,7 @@
   std::unique_ptr<Connection> owned = std::move(it->second);
   connections_.erase(it);
   owned->end();
-  dead_.bury(std::move(owned));
+  dead_.delete_later(std::move(owned));
 }
 
 void Server::sweep() {
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -54,9 +54,9 @@
   return bytes.size();
 }
 
-void Exchange::on_closed(io::Closed why) {
+void Exchange::on_closed(io::CloseReason why) {
   if (parser_.end() == Parser::State::kDone) return finish("");
-  finish(why == io::Closed::kNeverOpened ? "no connection" : "the connection broke before the answer");
+  finish(why == io::CloseReason::kNeverOpened ? "no connection" : "the connection broke before the answer");
 }
 
 void Exchange::finish(std::string why) {
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -30,7 +30,7 @@
 
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
-  void on_closed(io::Closed why) override;
+  void on_closed(io::CloseReason why) override;
 
  private:
   void finish(std::string why);
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -23,7 +23,7 @@
     if (!ended_ && ticket_ != 0 && waiting_.size() > kMostWaiting) stream_->read(reading_ = false);
     return bytes.size();
   }
-  void on_closed(io::Closed) override { gone(); }
+  void on_closed(io::CloseReason) override { gone(); }
 
   void respond(Response response) {
     const bool head_only = std::exchange(head_only_, false);
@@ -164,7 +164,7 @@
   if (it == connections_.end()) return;
   auto dead = std::move(it->second);
   connections_.erase(it);
-  dead_.bury(std::move(dead));
+  dead_.delete_later(std::move(dead));
 }
 
 }  // namespace laureltide::http
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -59,7 +59,7 @@
   std::unique_ptr<io::Listener> listener_;
   std::map<Connection*, std::unique_ptr<Connection>> connections_;
   std::map<Ticket, Connection*> tickets_;
-  io::Graveyard<Connection> dead_;
+  io::DeferredDeleter<Connection> dead_;
   Ticket next_ = 1;
   bool draining_ = false;
 };
--- a/src/layers/client.cpp
+++ b/src/layers/client.cpp
@@ -63,7 +63,7 @@
   const std::uint64_t id = next_++;
   out_[id] = std::make_unique<http::Exchange>(host_, agent_, request, within, limits,
                                               [this, id, done = std::move(done)](http::Exchange::Result r) {
-                                                dead_.bury(std::move(out_.at(id)));
+                                                dead_.delete_later(std::move(out_.at(id)));
                                                 out_.erase(id);
                                                 done(std::move(r));
                                               });
--- a/src/layers/client.h
+++ b/src/layers/client.h
@@ -38,7 +38,7 @@
   io::Address agent_;
   std::string worker_, life_;
   std::map<std::uint64_t, std::unique_ptr<http::Exchange>> out_;
-  io::Graveyard<http::Exchange> dead_;
+  io::DeferredDeleter<http::Exchange> dead_;
   std::uint64_t next_ = 1, sequence_ = 0;
   std::unique_ptr<io::Timer> beat_, listen_;
   std::function<void(const std::vector<ReleaseNews>&)> news_;
--- a/src/layers/files.cpp
+++ b/src/layers/files.cpp
@@ -132,8 +132,8 @@
   }
 
   // An index that cannot be written costs the next life its cache, and nothing else.
-  void on_trouble(const std::string&, bool) override {}
-  void on_well() override {}
+  void on_write_failed(const std::string&, bool) override {}
+  void on_write_recovered() override {}
   void on_durable(std::size_t) override {}
 
  private:
--- a/src/layers/remote.cpp
+++ b/src/layers/remote.cpp
@@ -66,7 +66,7 @@
   const auto it = out_.find(ticket);
   if (it == out_.end()) return;
   it->second->exchange.reset();  // hung up on at once: nothing more is sent for it
-  dead_.bury(std::move(it->second));
+  dead_.delete_later(std::move(it->second));
   out_.erase(it);
 }
 
@@ -111,7 +111,7 @@
       // The old exchange is on the call stack: it goes behind it.
       auto grave = std::make_unique<Out>();
       grave->exchange = std::move(*old);
-      return dead_.bury(std::move(grave));
+      return dead_.delete_later(std::move(grave));
     }
   }
   RemoteResult said;
@@ -140,7 +140,7 @@
   }
   if (said.end == FetchEnd::kWell) said.bytes = std::move(result.body);
   const Done done = std::move(out.done);
-  dead_.bury(std::move(it->second));
+  dead_.delete_later(std::move(it->second));
   out_.erase(it);
   done(std::move(said));
 }
--- a/src/layers/remote.h
+++ b/src/layers/remote.h
@@ -61,7 +61,7 @@
   io::Host& host_;
   OciOptions options_;
   std::map<std::uint64_t, std::unique_ptr<Out>> out_;
-  io::Graveyard<Out> dead_;
+  io::DeferredDeleter<Out> dead_;
   std::uint64_t next_ = 1;
 };
 
--- a/src/ledger/book.cpp
+++ b/src/ledger/call_ledger.cpp
@@ -1,4 +1,4 @@
-#include "ledger/book.h"
+#include "ledger/call_ledger.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-Book::Book(io::Host& host, store::Store& store, BookOptions options)
+CallLedger::CallLedger(io::Host& host, store::Store& store, CallLedgerOptions options)
     : host_(host),
       store_(store),
       options_(options),
@@ -27,17 +27,17 @@
   store_.serve(this);
   sweep_->start(kSweepEvery);
 }
-Book::~Book() {
+CallLedger::~CallLedger() {
   flush();
   *alive_ = false;
   store_.serve(nullptr);
 }
 
-std::int64_t Book::now_ms() const {
+std::int64_t CallLedger::now_ms() const {
   return wall_start_ms_ + std::chrono::duration_cast<std::chrono::milliseconds>(host_.now() - start_).count();
 }
 
-std::optional<std::string> Book::load() {
+std::optional<std::string> CallLedger::load() {
   std::optional<std::string> bad;
   const std::int64_t keep = std::chrono::duration_cast<std::chrono::milliseconds>(options_.keep).count();
   entries_.reserve(store_.entries());
@@ -74,27 +74,27 @@
   return bad;
 }
 
-const Record* Book::find(const std::string& key) const {
+const Record* CallLedger::find(const std::string& key) const {
   const auto it = entries_.find(key);
   return it == entries_.end() ? nullptr : &it->second.record;
 }
 
-bool Book::held(const std::string& key) const {
+bool CallLedger::active(const std::string& key) const {
   const auto it = entries_.find(key);
   return it != entries_.end() && it->second.held;
 }
 
-Book::Entry* Book::entry(const std::string& key) {
+CallLedger::Entry* CallLedger::entry(const std::string& key) {
   const auto it = entries_.find(key);
   return it == entries_.end() ? nullptr : &it->second;
 }
 
-Ruling Book::on_message(const std::string& front, const std::string& name, const Effect& effect,
-                        bool redelivered) const {
-  return rule_on_message(find(key_of(front, name)), effect, redelivered, coverage(front), now_ms());
+RecoveryDecision CallLedger::decide(const std::string& front, const std::string& name, const Effect& effect,
+                                    bool redelivered) const {
+  return decide_on_message(find(key_of(front, name)), effect, redelivered, coverage(front), now_ms());
 }
 
-std::vector<std::string> Book::owed(const std::string& front) const {
+std::vector<std::string> CallLedger::owed(const std::string& front) const {
   std::vector<std::pair<std::int64_t, std::string>> found;
   for (const auto& [key, e] : entries_)
     if (!e.held && e.record.owed && !e.record.delivered && front_of(key) == front)
@@ -107,7 +107,7 @@
 
 // ---- A call's life ----------------------------------------------------------------------------------------
 
-void Book::weigh(const std::string& key, Entry& e) {
+void CallLedger::weigh(const std::string& key, Entry& e) {
   if (!e.usage) {
     e.usage = &usage_[front_of(key)];
     ++e.usage->records;
@@ -118,7 +118,7 @@
   e.size = size;
 }
 
-void Book::write(const std::string& key, Entry& e) {
+void CallLedger::write(const std::string& key, Entry& e) {
   weigh(key, e);
   e.stored = true, e.behind = false;
   write_record(scratch_, e.record);
@@ -127,41 +127,41 @@
 
 // What nobody waits for is written a moment later, if it still matters then: an answer whose message is
 // acknowledged meanwhile needs no record.
-void Book::write_behind(const std::string& key, Entry& e) {
+void CallLedger::write_behind(const std::string& key, Entry& e) {
   weigh(key, e);
   if (std::exchange(e.behind, true)) return;
   if (behind_.empty()) behind_timer_->start(kBehind);
   behind_.push_back(key);
 }
 
-void Book::flush() {
+void CallLedger::flush() {
   for (const std::string& key : std::exchange(behind_, {}))
     if (Entry* e = entry(key); e && e->behind) write(key, *e);
 }
 
-void Book::commit(Done done, const char* then) {
+void CallLedger::commit(Done done, const char* then) {
   ++commits_;
   waiting_.push_back({std::move(done), then, false});
   store_.commit();
 }
 
-void Book::on_durable(std::size_t commits) {
+void CallLedger::on_durable(std::size_t commits) {
   const std::shared_ptr<bool> alive = alive_;
   while (commits-- > 0 && !waiting_.empty()) {
     const Waiting next = std::move(waiting_.front());
     waiting_.pop_front();
-    if (next.then) step(next.then);
+    if (next.then) crash_point(next.then);
     if (next.done) next.done();
     if (!*alive) return;
   }
 }
 
-void Book::expire_at(const std::string& key, Entry& e, std::int64_t at_ms) {
+void CallLedger::expire_at(const std::string& key, Entry& e, std::int64_t at_ms) {
   e.expires_ms = at_ms;
   expiries_.emplace(at_ms, key);
 }
 
-void Book::take(const std::string& key, Record record, Done done) {
+void CallLedger::take(const std::string& key, Record record, Done done) {
   if (const auto old = entries_.find(key); old != entries_.end()) remove(old);
   Entry& e = entries_[key];
   e.record = std::move(record);
@@ -169,11 +169,11 @@
   weigh(key, e);
   if (!e.record.owed) return;
   write(key, e);
-  step("take-queued");
+  crash_point("take-queued");
   commit(std::move(done), "take-durable");
 }
 
-void Book::resume(const std::string& key, bool fresh) {
+void CallLedger::resume(const std::string& key, bool fresh) {
   Entry* e = entry(key);
   if (!e) return;
   e->held = true;
@@ -181,7 +181,7 @@
   if (fresh) e->record.attempts.clear();
 }
 
-void Book::add_reply(const std::string& key, ReplyTo to, Done done) {
+void CallLedger::add_reply(const std::string& key, ReplyTo to, Done done) {
   Entry* e = entry(key);
   if (!e) return;
   e->record.replies.push_back(std::move(to));
@@ -189,29 +189,29 @@
   commit(std::move(done));
 }
 
-std::size_t Book::attempt(const std::string& key, std::uint32_t worker, Done done) {
+std::size_t CallLedger::add_attempt(const std::string& key, std::uint32_t worker, Done done) {
   Entry* e = entry(key);
   if (!e) {  // nothing is known of it, so nothing holds it back
     commit(std::move(done));
     return 0;
   }
   const std::size_t number = e->record.attempts.size();
-  e->record.attempts.push_back({worker, now_ms(), Fate::kOut});
+  e->record.attempts.push_back({worker, now_ms(), AttemptState::kInFlight});
   write(key, *e);
-  step("attempt-queued");
+  crash_point("attempt-queued");
   commit(std::move(done), "attempt-durable");
   return number;
 }
 
-void Book::never_ran(const std::string& key, std::size_t number) {
+void CallLedger::mark_never_ran(const std::string& key, std::size_t number) {
   Entry* e = entry(key);
   if (!e || number >= e->record.attempts.size()) return;
-  e->record.attempts[number].fate = Fate::kNeverRan;
+  e->record.attempts[number].state = AttemptState::kNeverRan;
   write_behind(key, *e);
-  step("attempt-ended");
+  crash_point("attempt-ended");
 }
 
-void Book::answer(const std::string& key, Answer answer, Done done) {
+void CallLedger::answer(const std::string& key, Answer answer, Done done) {
   Entry* e = entry(key);
   if (!e) {
     if (done) done();
@@ -224,25 +224,25 @@
   if (!done && !e->stored) return;
   if (!done) {
     write_behind(key, *e);
-    return step("answer-queued");
+    return crash_point("answer-queued");
   }
   write(key, *e);
-  step("answer-queued");
-  if (!well()) return done();  // a disk that does not write must not make answers late
+  crash_point("answer-queued");
+  if (!writable()) return done();  // a disk that does not write must not make answers late
   commit(std::move(done), "answer-durable");
   waiting_.back().impatient = true;
 }
 
-void Book::delivered(const std::string& key, Delivered how, std::int64_t keep_ms) {
+void CallLedger::delivered(const std::string& key, AfterDelivery how, std::int64_t keep_ms) {
   const auto it = entries_.find(key);
   if (it == entries_.end()) return;
-  if (how == Delivered::kCertain) {
+  if (how == AfterDelivery::kDropRecord) {
     remove(it);
-    return step("delivered-queued");
+    return crash_point("delivered-queued");
   }
   Entry& e = it->second;
   e.record.delivered = true;
-  if (how == Delivered::kUnsure) {
+  if (how == AfterDelivery::kKeepWithoutAnswer) {
     e.record.body.clear(), e.record.replies.clear();
     if (e.record.answer) e.record.answer->body.clear();
   }
@@ -252,10 +252,10 @@
   e.held = false;
   write(key, e);
   expire_at(key, e, e.record.keep_until_ms);
-  step("delivered-queued");
+  crash_point("delivered-queued");
 }
 
-void Book::leave(const std::string& key) {
+void CallLedger::release(const std::string& key) {
   const auto it = entries_.find(key);
   if (it == entries_.end()) return;
   if (!it->second.stored) return remove(it);
@@ -264,11 +264,11 @@
             now_ms() + std::chrono::duration_cast<std::chrono::milliseconds>(options_.keep).count());
 }
 
-void Book::forget(const std::string& key) {
+void CallLedger::forget(const std::string& key) {
   if (const auto it = entries_.find(key); it != entries_.end()) remove(it);
 }
 
-void Book::remove(Entries::iterator it) {
+void CallLedger::remove(Entries::iterator it) {
   const std::string key = it->first;
   bytes_ -= it->second.size;
   it->second.usage->bytes -= it->second.size;
@@ -277,7 +277,7 @@
   entries_.erase(it);
 }
 
-void Book::sweep() {
+void CallLedger::sweep() {
   const std::int64_t now = now_ms();
   std::size_t turn = 0;
   sweep_->start(kSweepEvery);
@@ -298,44 +298,44 @@
   }
 }
 
-Book::Usage Book::usage(const std::string& front) const {
+CallLedger::Usage CallLedger::usage(const std::string& front) const {
   const auto it = usage_.find(front);
   return it == usage_.end() ? Usage{} : it->second;
 }
 
 // ---- Coverage -------------------------------------------------------------------------------------------
 
-Coverage Book::coverage(const std::string& front) const {
+Coverage CallLedger::coverage(const std::string& front) const {
   const auto it = tenures_.find(front);
-  return it != tenures_.end() && it->second ? Coverage::kWhole : Coverage::kNone;
+  return it != tenures_.end() && it->second ? Coverage::kComplete : Coverage::kNone;
 }
 
-void Book::begin_tenure(const std::string& front) {
+void CallLedger::begin_exclusive_reading(const std::string& front) {
   if (tenures_.emplace(front, false).second) store_.put(key_of(kTenure, front), "began");
 }
 
-void Book::whole(const std::string& front) {
+void CallLedger::mark_complete(const std::string& front) {
   const auto it = tenures_.find(front);
   if (it == tenures_.end() || it->second) return;
   it->second = true;
   store_.put(key_of(kTenure, front), "whole");
 }
 
-void Book::end_tenure(const std::string& front) {
+void CallLedger::end_exclusive_reading(const std::string& front) {
   if (tenures_.erase(front) > 0) store_.erase(key_of(kTenure, front));
 }
 
 // ---- Trouble --------------------------------------------------------------------------------------------
 
-std::string Book::closed() const {
-  if (!well()) return "the ledger cannot be written: " + trouble_;
+std::string CallLedger::refusal_reason() const {
+  if (!writable()) return "the ledger cannot be written: " + trouble_;
   if (full()) return "the ledger holds as much as it may (" + std::to_string(entries_.size()) + " records)";
   return {};
 }
 
-void Book::on_trouble(const std::string& why, bool for_good) {
+void CallLedger::on_write_failed(const std::string& why, bool permanent) {
   const bool news = trouble_.empty();
-  trouble_ = why + (for_good ? "; the gateway must be restarted" : "");
+  trouble_ = why + (permanent ? "; the gateway must be restarted" : "");
   // Answers that wait for the disk would come too late: they leave, and a crash now may give them again.
   std::vector<Done> late;
   for (Waiting& w : waiting_)
@@ -344,7 +344,7 @@
   if (news && on_state) on_state(false);
 }
 
-void Book::on_well() {
+void CallLedger::on_write_recovered() {
   if (trouble_.empty()) return;
   trouble_.clear();
   if (on_state) on_state(true);
--- a/src/ledger/record.cpp
+++ b/src/ledger/record.cpp
@@ -25,7 +25,7 @@
 
 const Attempt* Record::may_have_run() const {
   const auto it = std::find_if(attempts.begin(), attempts.end(),
-                               [](const Attempt& a) { return a.fate != Fate::kNeverRan; });
+                               [](const Attempt& a) { return a.state != AttemptState::kNeverRan; });
   return it == attempts.end() ? nullptr : &*it;
 }
 
@@ -57,7 +57,7 @@
   put(w, record.callback);
   w.u16(static_cast<std::uint16_t>(record.attempts.size()));
   for (const Attempt& a : record.attempts)
-    w.u32(a.worker), w.u64(static_cast<std::uint64_t>(a.sent_ms)), w.u8(static_cast<std::uint8_t>(a.fate));
+    w.u32(a.worker), w.u64(static_cast<std::uint64_t>(a.sent_ms)), w.u8(static_cast<std::uint8_t>(a.state));
   w.u8(record.answer.has_value());
   if (record.answer) {
     w.u8(static_cast<std::uint8_t>(record.answer->kind));
@@ -108,9 +108,9 @@
   for (std::size_t i = 0; i < attempts && r.ok(); ++i) {
     Attempt a;
     a.worker = r.u32(), a.sent_ms = static_cast<std::int64_t>(r.u64());
-    const std::uint8_t fate = r.u8();
-    if (fate > static_cast<std::uint8_t>(Fate::kNeverRan)) r.fail();
-    a.fate = static_cast<Fate>(fate);
+    const std::uint8_t state = r.u8();
+    if (state > static_cast<std::uint8_t>(AttemptState::kNeverRan)) r.fail();
+    a.state = static_cast<AttemptState>(state);
     record.attempts.push_back(a);
   }
   if (r.u8() != 0) {
--- a/src/ledger/record.h
+++ b/src/ledger/record.h
@@ -13,13 +13,13 @@
 
 namespace laureltide::ledger {
 
-// Of an attempt. kOut is what a crash leaves behind, and means the same as kMayHaveRun.
-enum class Fate : std::uint8_t { kOut = 0, kMayHaveRun = 1, kNeverRan = 2 };
+// Of an attempt. kInFlight is what a crash leaves behind, and means the same as kMayHaveRun.
+enum class AttemptState : std::uint8_t { kInFlight = 0, kMayHaveRun = 1, kNeverRan = 2 };
 
 struct Attempt {
   std::uint32_t worker = 0;
   std::int64_t sent_ms = 0;  // wall clock, as are all times here: they must mean something to the next life
-  Fate fate = Fate::kOut;
+  AttemptState state = AttemptState::kInFlight;
   bool operator==(const Attempt&) const = default;
 };
 
--- a/src/ledger/ruling.cpp
+++ b/src/ledger/recovery.cpp
@@ -1,9 +1,9 @@
-#include "ledger/ruling.h"
+#include "ledger/recovery.h"
 
 namespace laureltide::ledger {
 namespace {
 
-Ruling run() { return {Verdict::kRun, 0, {}}; }
+RecoveryDecision run() { return {Verdict::kRun, 0, {}}; }
 
 std::string met(const Attempt& a) {
   return "it was sent to worker " + std::to_string(a.worker) +
@@ -12,7 +12,7 @@
 
 // What may have run: again only as the class allows, and only while every worker that could get it drops
 // repeats.
-Ruling repeat(const Attempt& first, const Effect& effect, std::int64_t now_ms) {
+RecoveryDecision repeat(const Attempt& first, const Effect& effect, std::int64_t now_ms) {
   if (effect.semantics == Semantics::kRepeatable) return run();
   // A cell or zone that drops repeats cannot be told to the decisions of a new life, so it does not help.
   const bool dropped_anywhere = effect.semantics == Semantics::kKeyed && effect.group == RepeatGroup::kAll;
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-Ruling rule_on_message(const Record* record, const Effect& effect, bool redelivered, Coverage coverage,
-                       std::int64_t now_ms) {
+RecoveryDecision decide_on_message(const Record* record, const Effect& effect, bool redelivered,
+                                   Coverage coverage, std::int64_t now_ms) {
   const bool free = effect.semantics == Semantics::kRepeatable;
   if (record && record->answer) {
     if (record->delivered && redelivered) return {Verdict::kAcknowledge, 0, {}};
@@ -44,7 +44,7 @@
   return run();
 }
 
-Ruling rule_on_owed(const Record& record, const Effect& effect, std::int64_t now_ms) {
+RecoveryDecision decide_on_owed(const Record& record, const Effect& effect, std::int64_t now_ms) {
   if (record.answer) return {Verdict::kAnswer, 0, {}};
   const Attempt* first = record.may_have_run();
   const bool refusable = !first || effect.semantics == Semantics::kRepeatable ||
--- a/src/ledger/ruling.h
+++ b/src/ledger/recovery.h
@@ -16,8 +16,8 @@
 
 // Whether all that ever ran of a queue's messages is in this ledger.
 enum class Coverage {
-  kNone,   // others may read the queue, or did, or the ledger is younger than its messages
-  kWhole,  // one reader, this ledger, since before the oldest message
+  kNone,      // others may read the queue, or did, or the ledger is younger than its messages
+  kComplete,  // one reader, this ledger, since before the oldest message
 };
 
 enum class Verdict {
@@ -29,7 +29,7 @@
   kFail,         // it may have run
 };
 
-struct Ruling {
+struct RecoveryDecision {
   Verdict verdict = Verdict::kFail;
   std::int64_t until_ms = 0;
   std::string reason;  // in plain words, of kRefuse and kFail
@@ -43,10 +43,10 @@
 };
 
 // A message names the call. `record`: null if the ledger has none.
-Ruling rule_on_message(const Record* record, const Effect& effect, bool redelivered, Coverage coverage,
-                       std::int64_t now_ms);
+RecoveryDecision decide_on_message(const Record* record, const Effect& effect, bool redelivered,
+                                   Coverage coverage, std::int64_t now_ms);
 
 // The gateway has started, and `record` is owed: no message will come for it.
-Ruling rule_on_owed(const Record& record, const Effect& effect, std::int64_t now_ms);
+RecoveryDecision decide_on_owed(const Record& record, const Effect& effect, std::int64_t now_ms);
 
 }  // namespace laureltide::ledger
--- a/src/members/list_subscriber.cpp
+++ b/src/members/list_subscriber.cpp
@@ -48,8 +48,9 @@
   return used;
 }
 
-void ListSubscriber::on_closed(io::Closed why) {
-  drop(why == io::Closed::kNeverOpened ? "no connection to the list service" : "the list service hung up");
+void ListSubscriber::on_closed(io::CloseReason why) {
+  drop(why == io::CloseReason::kNeverOpened ? "no connection to the list service"
+                                            : "the list service hung up");
 }
 
 void ListSubscriber::drop(const std::string& why) {
--- a/src/members/list_subscriber.h
+++ b/src/members/list_subscriber.h
@@ -18,7 +18,7 @@
   void request_full_list();
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
-  void on_closed(io::Closed why) override;
+  void on_closed(io::CloseReason why) override;
 
  private:
   static constexpr std::size_t kLongestLine = 16U << 20;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -179,7 +179,7 @@
       fail(base);
   }
   void fail(event_base* base) {
-    soon(base, [](Stream& self) { self.ended(io::Closed::kNeverOpened); });
+    soon(base, [](Stream& self) { self.ended(io::CloseReason::kNeverOpened); });
   }
 
   void write(std::string_view bytes) override {
@@ -254,10 +254,10 @@
       self.open_ = true;
       return self.events_->on_open();
     }
-    if (!self.open_) return self.ended(io::Closed::kNeverOpened);
-    self.ended(what & BEV_EVENT_EOF ? io::Closed::kByPeer : io::Closed::kBroken);
+    if (!self.open_) return self.ended(io::CloseReason::kNeverOpened);
+    self.ended(what & BEV_EVENT_EOF ? io::CloseReason::kByPeer : io::CloseReason::kBroken);
   }
-  void ended(io::Closed why) {
+  void ended(io::CloseReason why) {
     if (std::exchange(over_, true)) return;
     bufferevent_disable(stream_.get(), EV_READ | EV_WRITE);
     events_->on_closed(why);
--- a/src/platform/feed.cpp
+++ b/src/platform/feed.cpp
@@ -220,8 +220,8 @@
   return bytes.size();
 }
 
-void EventSubscriber::on_closed(io::Closed why) {
-  drop(why == io::Closed::kNeverOpened ? "no connection to the bus" : "the bus hung up");
+void EventSubscriber::on_closed(io::CloseReason why) {
+  drop(why == io::CloseReason::kNeverOpened ? "no connection to the bus" : "the bus hung up");
 }
 
 void EventSubscriber::on_silence() {
--- a/src/platform/feed.h
+++ b/src/platform/feed.h
@@ -98,7 +98,7 @@
 
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
-  void on_closed(io::Closed why) override;
+  void on_closed(io::CloseReason why) override;
 
  private:
   void dial();
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -117,16 +117,16 @@
     if (connection_ && !out.empty()) asked_at = link_.host_.now();
     return used;
   }
-  void on_closed(io::Closed why) override {
+  void on_closed(io::CloseReason why) override {
     if (!open) return link_.drop(*this, Outcome::kConnectFailed, "no connection");
     // Found ended while it rested, or by the very frame that ended its rest.
     const Duration since = link_.host_.now() - used_at;
     if (out.empty())
       link_.learn_rest(since);
-    else if (why == io::Closed::kBroken && since < link_.options_.verdict)
+    else if (why == io::CloseReason::kBroken && since < link_.options_.verdict)
       link_.learn_rest(rested);
-    link_.broke(*this,
-                why == io::Closed::kByPeer ? "the invoker closed the connection" : "the connection broke");
+    link_.broke(*this, why == io::CloseReason::kByPeer ? "the invoker closed the connection"
+                                                       : "the connection broke");
   }
 
  private:
@@ -473,7 +473,7 @@
     const bool own = spoilt == id && what.kind == Kind::kCall;
     end(what.cookie, what.kind, own ? Outcome::kError : for_the_rest, why);
   }
-  dead_.bury(std::move(owned));
+  dead_.delete_later(std::move(owned));
 }
 
 // The connection ended with no word. What was out on it may have run; whether the invoker died shows by its
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -125,7 +125,7 @@
   ConnectionBudget& budget_;
   worker::LinkEvents& events_;
   std::vector<std::unique_ptr<Wire>> wires_;
-  io::Graveyard<Wire> dead_;
+  io::DeferredDeleter<Wire> dead_;
   std::map<Key, Asked> asked_;
   Duration rest_{};  // as last learnt
   Time rest_learnt_{};
--- a/src/sim/network.cpp
+++ b/src/sim/network.cpp
@@ -28,7 +28,7 @@
   Stream(Network& net, std::shared_ptr<Link> link, int end) : net_(net), link_(std::move(link)), end_(end) {}
   ~Stream() override {
     link_->ends[end_].events = nullptr;
-    if (!link_->over && !finished_) net_.end(link_, 1 - end_, io::Closed::kBroken);
+    if (!link_->over && !finished_) net_.end(link_, 1 - end_, io::CloseReason::kBroken);
   }
   void write(std::string_view bytes) override {
     if (link_->over || finished_) return;
@@ -46,8 +46,9 @@
     if (link_->over || std::exchange(finished_, true)) return;
     // In order behind what was written.
     const Time at = std::max(net_.now_, link_->ends[1 - end_].last_arrival) + net_.options_.most_delay;
-    net_.after(at - net_.now_,
-               [net = &net_, link = link_, end = end_] { net->end(link, 1 - end, io::Closed::kByPeer); });
+    net_.after(at - net_.now_, [net = &net_, link = link_, end = end_] {
+      net->end(link, 1 - end, io::CloseReason::kByPeer);
+    });
   }
 
  private:
@@ -127,11 +128,11 @@
   after(delay() + more, [this, link, options] {
     if (link->over || !link->ends[0].events) return;
     if (silent_.contains(link->to)) {  // a SYN without an answer
-      after(options.connect_timeout, [this, link] { end(link, 0, io::Closed::kNeverOpened); });
+      after(options.connect_timeout, [this, link] { end(link, 0, io::CloseReason::kNeverOpened); });
       return;
     }
     const auto listener = listeners_.find(link->to);
-    if (listener == listeners_.end()) return end(link, 0, io::Closed::kNeverOpened);
+    if (listener == listeners_.end()) return end(link, 0, io::CloseReason::kNeverOpened);
     link->open = true;
     io::ConnectionEvents* served = listener->second->accept(std::make_unique<Stream>(*this, link, 1));
     link->ends[1].events = served;
@@ -185,7 +186,7 @@
   here.inbox.insert(0, bytes, used, std::string::npos);
 }
 
-void Network::end(const std::shared_ptr<Link>& link, int at, io::Closed why) {
+void Network::end(const std::shared_ptr<Link>& link, int at, io::CloseReason why) {
   if (std::exchange(link->over, true)) return;
   links_.erase(link);
   after(delay(), [link, at, why] {
@@ -221,9 +222,10 @@
   const auto links = links_;
   for (const auto& link : links) {
     if (link->to != to || link->over) continue;
-    end(link, 0, io::Closed::kBroken);
+    end(link, 0, io::CloseReason::kBroken);
     after(delay(), [link] {
-      if (auto* events = std::exchange(link->ends[1].events, nullptr)) events->on_closed(io::Closed::kBroken);
+      if (auto* events = std::exchange(link->ends[1].events, nullptr))
+        events->on_closed(io::CloseReason::kBroken);
     });
   }
 }
--- a/src/sim/network.h
+++ b/src/sim/network.h
@@ -71,7 +71,7 @@
   Duration delay();
   void pump(const std::shared_ptr<Link>& link, int to);
   void deliver(const std::shared_ptr<Link>& link, int to);
-  void end(const std::shared_ptr<Link>& link, int at, io::Closed why);
+  void end(const std::shared_ptr<Link>& link, int at, io::CloseReason why);
 
   NetworkOptions options_;
   Time now_{};
--- a/src/standin/broker.cpp
+++ b/src/standin/broker.cpp
@@ -191,7 +191,7 @@
     const auto it = broker_.connections_.find(this);
     auto self = std::move(it->second);
     broker_.connections_.erase(it);
-    broker_.dead_.bury(std::move(self));
+    broker_.dead_.delete_later(std::move(self));
   }
 
   Queue* usable(std::uint16_t number, const std::string& name) {
--- a/src/standin/broker.h
+++ b/src/standin/broker.h
@@ -113,7 +113,7 @@
   std::map<std::string, Exchange> exchanges_;
   std::map<std::string, Queue> queues_;
   std::map<Connection*, std::unique_ptr<Connection>> connections_;
-  io::Graveyard<Connection> dead_;
+  io::DeferredDeleter<Connection> dead_;
   std::set<std::string> given_back_;  // queues to be looked at once what is going on is over
   std::unique_ptr<io::Timer> give_again_;
   std::uint64_t generated_ = 0;
--- a/src/standin/caller.cpp
+++ b/src/standin/caller.cpp
@@ -108,7 +108,7 @@
   ready_ = false;
   for (const auto& [tag, name] : unconfirmed_) tape_.note(host_.now(), "unconfirmed", {{"call", name}});
   unconfirmed_.clear();
-  dead_.bury(std::move(endpoint_));
+  dead_.delete_later(std::move(endpoint_));
   again_->start(std::chrono::milliseconds(100));
 }
 
--- a/src/standin/caller.h
+++ b/src/standin/caller.h
@@ -51,7 +51,7 @@
   CallerOptions options_;
   Tape& tape_;
   std::unique_ptr<amqp::Endpoint> endpoint_;
-  io::Graveyard<amqp::Endpoint> dead_;
+  io::DeferredDeleter<amqp::Endpoint> dead_;
   std::unique_ptr<io::Timer> again_;
   bool ready_ = false;
   std::uint64_t published_ = 0;
--- a/src/standin/invoker.cpp
+++ b/src/standin/invoker.cpp
@@ -64,7 +64,7 @@
     tape_.note(host_.now(), "delivered",
                {{"call", name}, {"to", who}, {"redelivered", open.given}, {"front", "http"}});
   }
-  dead_exchanges_.bury(std::move(open.exchange));
+  dead_exchanges_.delete_later(std::move(open.exchange));
   const Duration within =
       std::chrono::milliseconds(open.call.patience_ms.value_or(3000)) + std::chrono::seconds(20);
   open.exchange = std::make_unique<http::Exchange>(
@@ -122,7 +122,7 @@
                {{"call", name},
                 {"outcome", outcome ? *outcome : "status " + std::to_string(result.status)},
                 {"bytes", result.status == 200 ? result.body.size() : 0}});
-    return dead_.bury(std::move(open_.extract(name).mapped()));
+    return dead_.delete_later(std::move(open_.extract(name).mapped()));
   }
   Caller::Answered a;
   a.at = host_.now();
@@ -140,7 +140,7 @@
     open.location.clear();
     open.again->start(options_.pause);
   } else {
-    dead_.bury(std::move(open_.extract(name).mapped()));
+    dead_.delete_later(std::move(open_.extract(name).mapped()));
   }
   if (on_answer) on_answer(name, a);
 }
--- a/src/standin/invoker.h
+++ b/src/standin/invoker.h
@@ -52,8 +52,8 @@
   Tape& tape_;
   std::size_t turn_ = 0;
   std::map<std::string, std::unique_ptr<Open>> open_;
-  io::Graveyard<Open> dead_;
-  io::Graveyard<http::Exchange> dead_exchanges_;
+  io::DeferredDeleter<Open> dead_;
+  io::DeferredDeleter<http::Exchange> dead_exchanges_;
 };
 
 }  // namespace laureltide::standin
--- a/src/standin/list.cpp
+++ b/src/standin/list.cpp
@@ -16,11 +16,11 @@
     }
     return bytes.size() - used > 4096 ? bytes.size() : used;
   }
-  void on_closed(io::Closed) override {
+  void on_closed(io::CloseReason) override {
     const auto it = service_.clients_.find(this);
     auto self = std::move(it->second);
     service_.clients_.erase(it);
-    service_.dead_.bury(std::move(self));
+    service_.dead_.delete_later(std::move(self));
   }
   void write(std::string_view text) { connection_->write(text); }
   std::string name;
--- a/src/standin/list.h
+++ b/src/standin/list.h
@@ -37,7 +37,7 @@
   Tape& tape_;
   std::unique_ptr<io::Listener> listener_;
   std::map<Client*, std::unique_ptr<Client>> clients_;
-  io::Graveyard<Client> dead_;
+  io::DeferredDeleter<Client> dead_;
   std::map<std::uint32_t, members::Member> members_;
   std::map<std::uint32_t, members::Member> told_;  // as of the last push, which lags behind
   std::int64_t epoch_;
--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -73,7 +73,7 @@
     }
     return used;
   }
-  void on_closed(io::Closed) override {
+  void on_closed(io::CloseReason) override {
     const auto it = invoker_.sessions_.find(number);
     if (it == invoker_.sessions_.end()) return;
     connection.reset();
@@ -276,7 +276,7 @@
     answer_timer_->start(bus_.answer_after_);
     return end + 4;
   }
-  void on_closed(io::Closed) override { connection.reset(), following = false; }
+  void on_closed(io::CloseReason) override { connection.reset(), following = false; }
   std::unique_ptr<io::Connection> connection;
   bool following = false;
 
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -208,7 +208,7 @@
 
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
-  void on_closed(io::Closed) override { closed_ = true; }
+  void on_closed(io::CloseReason) override { closed_ = true; }
 
  private:
   void read(std::string_view frame);
--- a/src/standin/registry.cpp
+++ b/src/standin/registry.cpp
@@ -49,14 +49,14 @@
     const auto state = parser_.feed(bytes, used);
     if (state == http::Parser::State::kBad) {
       connection_->finish();
-      bury();
+      delete_later();
       return bytes.size();
     }
     if (state == http::Parser::State::kMore) return used;
     begin();
     return used;
   }
-  void on_closed(io::Closed) override { bury(); }
+  void on_closed(io::CloseReason) override { delete_later(); }
 
  private:
   static http::Limits limits(const Registry& registry) {
@@ -64,13 +64,13 @@
     l.body = registry.options_.most_body;
     return l;
   }
-  void bury() {
+  void delete_later() {
     const auto it = registry_.clients_.find(this);
     if (it == registry_.clients_.end()) return;
     auto self = std::move(it->second);
     registry_.clients_.erase(it);
     leave();
-    registry_.dead_.bury(std::move(self));
+    registry_.dead_.delete_later(std::move(self));
   }
   void leave() {
     if (std::exchange(busy_, false)) --registry_.in_hand_;
@@ -137,7 +137,7 @@
         connection_->finish();
       else
         connection_.reset();
-      return bury();
+      return delete_later();
     }
     if (left_.empty()) return done();
     wait_for_piece();
@@ -156,7 +156,7 @@
     parser_.reset();
     if (close) {
       connection_->finish();
-      bury();
+      delete_later();
     }
   }
 
--- a/src/standin/registry.h
+++ b/src/standin/registry.h
@@ -89,7 +89,7 @@
   Tape& tape_;
   std::unique_ptr<io::Listener> listener_;
   std::map<Client*, std::unique_ptr<Client>> clients_;
-  io::Graveyard<Client> dead_;
+  io::DeferredDeleter<Client> dead_;
   std::map<std::string, std::string> blobs_;                        // by digest
   std::map<std::string, std::set<std::string>> of_repository_;      // digests that it lists
   std::map<std::string, std::map<std::string, std::string>> tags_;  // repository, tag or digest: the digest
--- a/src/standin/store.cpp
+++ b/src/standin/store.cpp
@@ -19,11 +19,11 @@
     }
     return bytes.size() - used > 256 ? bytes.size() : used;
   }
-  void on_closed(io::Closed) override {
+  void on_closed(io::CloseReason) override {
     const auto it = store_.clients_.find(this);
     auto self = std::move(it->second);
     store_.clients_.erase(it);
-    store_.dead_.bury(std::move(self));
+    store_.dead_.delete_later(std::move(self));
   }
 
  private:
@@ -86,7 +86,7 @@
   return used;
 }
 
-void StoreClient::on_closed(io::Closed) {
+void StoreClient::on_closed(io::CloseReason) {
   connection_.reset();
   for (auto& [id, done] : std::exchange(waiting_, {})) done(false);
 }
--- a/src/standin/store.h
+++ b/src/standin/store.h
@@ -32,7 +32,7 @@
   StoreOptions options_;
   std::unique_ptr<io::Listener> listener_;
   std::map<Client*, std::unique_ptr<Client>> clients_;
-  io::Graveyard<Client> dead_;
+  io::DeferredDeleter<Client> dead_;
   double slow_ = 1;
   std::size_t in_hand_ = 0;
   std::uint64_t fetches_ = 0;
@@ -45,7 +45,7 @@
   StoreClient(io::Host& host, io::Address store);
   void fetch(Duration at_full_pace, Done done);
   std::size_t on_bytes(std::string_view bytes) override;
-  void on_closed(io::Closed why) override;
+  void on_closed(io::CloseReason why) override;
 
  private:
   io::Host& host_;
--- a/src/standin/worker.cpp
+++ b/src/standin/worker.cpp
@@ -74,7 +74,7 @@
   agent_.reset();  // its pins go with its lease, or its next life
   for (auto& [raw, session] : std::exchange(sessions_, {})) {
     raw->abort();
-    dead_.bury(std::move(session));
+    dead_.delete_later(std::move(session));
   }
 }
 
@@ -122,7 +122,7 @@
   if (it == sessions_.end()) return;
   auto dead = std::move(it->second);
   sessions_.erase(it);
-  dead_.bury(std::move(dead));
+  dead_.delete_later(std::move(dead));
 }
 
 void Worker::on_message(worker::Session& session, worker::Message message) {
--- a/src/standin/worker.h
+++ b/src/standin/worker.h
@@ -144,7 +144,7 @@
   std::unique_ptr<io::Listener> listener_;
   io::Address address_;
   std::map<worker::Session*, std::unique_ptr<worker::Session>> sessions_;
-  io::Graveyard<worker::Session> dead_;
+  io::DeferredDeleter<worker::Session> dead_;
   std::unique_ptr<StoreClient> store_;
   std::shared_ptr<layers::AgentClient> agent_;  // of this life
   std::map<std::string, Pool> pools_;
--- a/src/store/lmdb.cpp
+++ b/src/store/lmdb.cpp
@@ -243,10 +243,10 @@
   bool keep_at(Batch& batch, const std::stop_token& stop) {
     bool troubled = false;
     while (const int error = write(batch)) {
-      const bool for_good = error != MDB_MAP_FULL && error != ENOSPC && error != EDQUOT;
+      const bool permanent = error != MDB_MAP_FULL && error != ENOSPC && error != EDQUOT;
       if (!std::exchange(troubled, true))
-        tell([why = text_of(error), for_good](StoreEvents& e) { e.on_trouble(why, for_good); });
-      if (for_good || stop.stop_requested()) return false;
+        tell([why = text_of(error), permanent](StoreEvents& e) { e.on_write_failed(why, permanent); });
+      if (permanent || stop.stop_requested()) return false;
       std::unique_lock lock(mutex_);
       woken_.wait_for(lock, stop, kTryAgain, [] { return false; });
       // What was given meanwhile goes with it: an erasure may be just what makes room.
@@ -254,7 +254,7 @@
       given_.clear();
       given_.emplace_back();
     }
-    if (troubled) tell([](StoreEvents& e) { e.on_well(); });
+    if (troubled) tell([](StoreEvents& e) { e.on_write_recovered(); });
     if (batch.commits > 0) tell([n = batch.commits](StoreEvents& e) { e.on_durable(n); });
     return true;
   }
@@ -312,7 +312,7 @@
 
 }  // namespace
 
-Opened open_lmdb(const LmdbOptions& options, std::function<void(std::function<void()>)> post) {
+OpenResult open_lmdb(const LmdbOptions& options, std::function<void(std::function<void()>)> post) {
   std::error_code error;
   fs::create_directories(options.directory, error);
   if (error) return {nullptr, options.directory + " cannot be made: " + error.message()};
@@ -321,7 +321,7 @@
   if (lock < 0) return {nullptr, options.directory + " cannot be written: " + std::strerror(errno)};
   auto fail = [&](const std::string& why) {
     ::close(lock);
-    return Opened{nullptr, why};
+    return OpenResult{nullptr, why};
   };
   if (flock(lock, LOCK_EX | LOCK_NB) != 0)
     return fail("the " + options.what + " in " + options.directory + " is in use by another process");
@@ -350,8 +350,9 @@
   return {std::make_unique<LmdbStore>(options, std::move(env), dbi, lock, std::move(post)), {}};
 }
 
-Walked walk(const LmdbOptions& options, const std::function<void(std::string_view, std::string_view)>& each) {
-  Walked walked;
+ScanResult scan(const LmdbOptions& options,
+                const std::function<void(std::string_view, std::string_view)>& each) {
+  ScanResult walked;
   walked.why = check_version(options, false);
   if (!walked.why.empty()) return walked;
   walked.why = walk_in_child(options);
@@ -366,7 +367,7 @@
   return walked;
 }
 
-std::string copy_compact(const LmdbOptions& options, const std::string& to) {
+std::string copy_compacted(const LmdbOptions& options, const std::string& to) {
   const std::string& from = options.directory;
   if (const std::string why = check_version(options, false); !why.empty()) return why;
   std::error_code error;
--- a/src/store/lmdb.h
+++ b/src/store/lmdb.h
@@ -33,24 +33,24 @@
 // The layout of the directory: a text file `version` and LMDB's data.mdb.
 constexpr int kStoreVersion = 1;
 
-struct Opened {
+struct OpenResult {
   std::unique_ptr<Store> store;
   std::string why;  // if there is none: what is wrong with the directory, and what to do
 };
 // `post` brings a function to the loop's thread; it must outlive the store, or drop what it is given. Creates
 // the directory where there is none. Before a byte is served, a child process walks the whole file: damage
 // that would crash a reader ends the child and is told.
-Opened open_lmdb(const LmdbOptions& options, std::function<void(std::function<void()>)> post);
+OpenResult open_lmdb(const LmdbOptions& options, std::function<void(std::function<void()>)> post);
 
 // For tools: reads a directory that another process may be using.
-struct Walked {
+struct ScanResult {
   std::size_t records = 0, bytes = 0, file_bytes = 0;
   std::string why;  // the first thing that is wrong; empty: nothing
 };
 // `options`: its directory, what it holds, and the check.
-Walked walk(const LmdbOptions& options,
-            const std::function<void(std::string_view key, std::string_view value)>& each);
+ScanResult scan(const LmdbOptions& options,
+                const std::function<void(std::string_view key, std::string_view value)>& each);
 // A compact copy into another, new directory; safe while it is in use. A reason if it fails.
-std::string copy_compact(const LmdbOptions& from, const std::string& to);
+std::string copy_compacted(const LmdbOptions& from, const std::string& to);
 
 }  // namespace laureltide::store
--- a/src/store/memory.cpp
+++ b/src/store/memory.cpp
@@ -36,14 +36,15 @@
 
 void MemoryStore::sync() {
   if (disk_.full) {
-    if (!std::exchange(troubled_, true) && events_) events_->on_trouble("no space left on the disk", false);
+    if (!std::exchange(troubled_, true) && events_)
+      events_->on_write_failed("no space left on the disk", false);
     return timer_->start(kTryAgain);
   }
   ++disk_.commits;
   for (auto& [key, value] : std::exchange(syncing_, {}))
     value ? void(disk_.data[key] = std::move(*value)) : void(disk_.data.erase(key));
   busy_ = false;
-  if (std::exchange(troubled_, false) && events_) events_->on_well();
+  if (std::exchange(troubled_, false) && events_) events_->on_write_recovered();
   const std::size_t durable = std::exchange(synced_, 0);
   if (!given_.empty() || waiting_ > 0) gather();
   if (durable > 0 && events_) events_->on_durable(durable);  // the last thing: it may end this store
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -18,9 +18,9 @@
 class StoreEvents {
  public:
   virtual ~StoreEvents() = default;
-  // The store cannot write; what it was given waits and is tried again, unless `for_good`.
-  virtual void on_trouble(const std::string& why, bool for_good) = 0;
-  virtual void on_well() = 0;  // all that waited is written
+  // The store cannot write; what it was given waits and is tried again, unless `permanent`.
+  virtual void on_write_failed(const std::string& why, bool permanent) = 0;
+  virtual void on_write_recovered() = 0;  // all that waited is written
   // So many more commits, in the order in which they were asked for, are on disk.
   virtual void on_durable(std::size_t commits) = 0;
 };
--- a/src/worker/link.cpp
+++ b/src/worker/link.cpp
@@ -53,7 +53,7 @@
       events_(events) {
   dialing_ = host.timer([this] {  // connected, but no hello: the same as not connected
     connection_.reset();
-    lost(io::Closed::kNeverOpened);
+    lost(io::CloseReason::kNeverOpened);
   });
   later_timer_ = host.timer([this] {
     const auto due = std::exchange(later_, {});
@@ -221,7 +221,7 @@
   connection_->write(scratch_);
   connection_->finish();
   connection_.reset();
-  lost(io::Closed::kBroken);
+  lost(io::CloseReason::kBroken);
 }
 
 void Link::on_message(Message message) {
@@ -305,9 +305,9 @@
     events_.on_call_end(worker_, cookie, {Outcome::kFull, {}, {}, {}, "the worker drains", {}});
 }
 
-void Link::on_closed(io::Closed why) { lost(why); }
+void Link::on_closed(io::CloseReason why) { lost(why); }
 
-void Link::lost(io::Closed) {
+void Link::lost(io::CloseReason) {
   if (state_ == State::kIdle) return;
   dialing_->stop();
   if (connection_) connection_->finish();
--- a/src/worker/link.h
+++ b/src/worker/link.h
@@ -50,7 +50,7 @@
   // ---- io::ConnectionEvents ----
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
-  void on_closed(io::Closed why) override;
+  void on_closed(io::CloseReason why) override;
 
  private:
   enum class State { kIdle, kDialing, kReady };
@@ -66,7 +66,7 @@
   void on_message(Message message);
   void on_answer(Answer answer);
   void on_drain(std::uint64_t last_taken);
-  void lost(io::Closed why);
+  void lost(io::CloseReason why);
   bool may_be_sent(const Waiting& waiting);
   void end_unsent(const Message& message, std::uint64_t cookie);
   void end_waiting(const Message& message, std::uint64_t cookie, Outcome outcome);
--- a/src/worker/server.cpp
+++ b/src/worker/server.cpp
@@ -89,7 +89,7 @@
   end();
 }
 
-void Session::on_closed(io::Closed) { end(); }
+void Session::on_closed(io::CloseReason) { end(); }
 
 void Session::end() {
   if (std::exchange(ended_, true)) return;
--- a/tests/amqp/endpoint_test.cpp
+++ b/tests/amqp/endpoint_test.cpp
@@ -48,7 +48,7 @@
   bool open = false, closed = false;
   void on_open() override { open = true; }
   std::size_t on_bytes(std::string_view b) override { return got += b, b.size(); }
-  void on_closed(io::Closed) override { closed = true; }
+  void on_closed(io::CloseReason) override { closed = true; }
   std::optional<std::uint16_t> close_code() const {
     std::size_t at = 0;
     std::optional<std::uint16_t> code;
--- a/tests/controller/claim_test.cpp
+++ b/tests/controller/claim_test.cpp
@@ -14,7 +14,7 @@
 ledger::Record record(std::optional<ledger::Answer::Kind> answer = {}, bool sent = false) {
   ledger::Record r;
   r.digest = "same";
-  if (sent) r.attempts = {{1, 1000, ledger::Fate::kOut}};
+  if (sent) r.attempts = {{1, 1000, ledger::AttemptState::kInFlight}};
   if (answer) r.answer = ledger::Answer{*answer, "", "x", 0, 1500};
   return r;
 }
--- a/tests/controller/gateway_test.cpp
+++ b/tests/controller/gateway_test.cpp
@@ -850,7 +850,7 @@
     std::unique_ptr<io::Connection> c;
     void on_open() override { c->write("GET / HTTP/1.1\r\n\r\n"); }
     std::size_t on_bytes(std::string_view b) override { return b.size(); }
-    void on_closed(io::Closed) override { closed = true; }
+    void on_closed(io::CloseReason) override { closed = true; }
   } noise;
   noise.c = town.net.connect({"127.0.0.1", 7300}, {}, noise);
   ASSERT_TRUE(town.net.run_until([&] { return noise.closed; }));
--- a/tests/controller/invoke_test.cpp
+++ b/tests/controller/invoke_test.cpp
@@ -392,7 +392,7 @@
   }
 }
 INSTANTIATE_TEST_SUITE_P(Invoke, EveryInvokeStep,
-                         testing::Combine(testing::ValuesIn(ledger::kSteps), testing::Bool()),
+                         testing::Combine(testing::ValuesIn(ledger::kCrashPoints), testing::Bool()),
                          [](const auto& info) {
                            std::string name = std::get<0>(info.param);
                            std::replace(name.begin(), name.end(), '-', '_');
@@ -496,7 +496,7 @@
   const auto other_settings = std::make_shared<const config::Settings>(*config::parse(text(1), "1").settings);
   store::MemoryDisk disk;
   store::MemoryStore store(town.net, disk);
-  ledger::Book book(town.net, store, {});
+  ledger::CallLedger book(town.net, store, {});
   ASSERT_FALSE(book.load());
   Log log;
   controller::Gateway other(town.net, other_settings, log, 9, 1, &book);
@@ -585,7 +585,7 @@
   struct Half : io::ConnectionEvents {
     std::string heard;
     std::size_t on_bytes(std::string_view b) override { return heard += b, b.size(); }
-    void on_closed(io::Closed) override {}
+    void on_closed(io::CloseReason) override {}
   } half;
   std::optional<Result> got;  // something to answer keeps the gateway alive meanwhile
   http::Exchange e(town.net, town.at, town.request("POST", "/v1/functions/gate/calls", {}, "x"), 20s, {},
--- a/tests/controller/owed_test.cpp
+++ b/tests/controller/owed_test.cpp
@@ -17,7 +17,7 @@
     record.function = "gate", record.tenant = "volta", record.body = "payload", record.owed = true;
     record.taken_ms = 1000, record.give_up_ms = 3500;
   }
-  void sent() { record.attempts = {{1, 1200, ledger::Fate::kOut}}; }
+  void sent() { record.attempts = {{1, 1200, ledger::AttemptState::kInFlight}}; }
 };
 
 TEST_F(OwedCall, RunsWithThePatienceItHasLeft) {
--- a/tests/gateway_fixture.h
+++ b/tests/gateway_fixture.h
@@ -130,9 +130,9 @@
   std::shared_ptr<const config::Settings> config;
   store::MemoryDisk disk;  // outlives the gateway
   std::unique_ptr<store::MemoryStore> store;
-  std::unique_ptr<ledger::Book> book;
+  std::unique_ptr<ledger::CallLedger> book;
   bool with_ledger = false;
-  ledger::BookOptions book_options;
+  ledger::CallLedgerOptions book_options;
   std::unique_ptr<controller::Gateway> gateway;
   std::unique_ptr<standin::Caller> caller;
   io::Address broker_at{"127.0.0.1", 5672}, list_at{"127.0.0.1", 7000};
@@ -183,10 +183,10 @@
   void start_gateway(std::uint64_t seed = 7) {
     if (with_ledger) {
       store = std::make_unique<store::MemoryStore>(net, disk);
-      book = std::make_unique<ledger::Book>(net, *store, book_options);
+      book = std::make_unique<ledger::CallLedger>(net, *store, book_options);
       const auto bad = book->load();
       ASSERT_FALSE(bad) << *bad;
-      book->on_step = [this](const char* step) {
+      book->on_crash_point = [this](const char* step) {
         steps.emplace_back(step);
         if (on_step) on_step(step);
       };
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -19,7 +19,7 @@
   Raw(sim::Network& n, const io::Address& to) : net(n) { c = net.connect(to, {}, *this); }
   void on_open() override { open = true; }
   std::size_t on_bytes(std::string_view b) override { return heard += b, b.size(); }
-  void on_closed(io::Closed) override { closed = true; }
+  void on_closed(io::CloseReason) override { closed = true; }
   void say(const std::string& text) {
     net.run_until([&] { return open || closed; });
     if (!closed) c->write(text);
--- a/tests/ledger/book_test.cpp
+++ b/tests/ledger/call_ledger_test.cpp
@@ -1,5 +1,5 @@
 // The book's state against its disk: what is written when, what is kept, what trouble does.
-#include "ledger/book.h"
+#include "ledger/call_ledger.h"
 
 #include <gtest/gtest.h>
 
@@ -14,8 +14,8 @@
   sim::Network net;
   store::MemoryDisk disk;
   std::unique_ptr<store::MemoryStore> store;
-  std::unique_ptr<Book> book;
-  BookOptions options;
+  std::unique_ptr<CallLedger> book;
+  CallLedgerOptions options;
   const std::string key = key_of("amqp/main/calls", "c-1");
   const Effect once{Semantics::kOnce, RepeatGroup::kAll, 0};
 
@@ -23,7 +23,7 @@
   void open() {
     book.reset(), store.reset();
     store = std::make_unique<store::MemoryStore>(net, disk);
-    book = std::make_unique<Book>(net, *store, options);
+    book = std::make_unique<CallLedger>(net, *store, options);
     const auto bad = book->load();
     ASSERT_FALSE(bad) << *bad;
   }
@@ -42,7 +42,7 @@
 TEST_F(BookTest, AnAttemptIsOnDiskBeforeItIsTold) {
   book->take(key, call());
   bool may_leave = false;
-  book->attempt(key, 3, [&] {
+  book->add_attempt(key, 3, [&] {
     may_leave = true;
     EXPECT_EQ(records_on_disk(), 1U);
   });
@@ -53,25 +53,25 @@
   open();
   ASSERT_TRUE(book->find(key));
   EXPECT_EQ(book->find(key)->attempts.size(), 1U);
-  EXPECT_FALSE(book->held(key));
-  EXPECT_EQ(book->on_message("amqp/main/calls", "c-1", once, true).verdict, Verdict::kFail);
+  EXPECT_FALSE(book->active(key));
+  EXPECT_EQ(book->decide("amqp/main/calls", "c-1", once, true).verdict, Verdict::kFail);
 }
 
 TEST_F(BookTest, WhatIsProvenNeverToHaveRunSurvives) {
   book->take(key, call());
-  const std::size_t n = book->attempt(key, 3, {});
-  book->never_ran(key, n);
+  const std::size_t n = book->add_attempt(key, 3, {});
+  book->mark_never_ran(key, n);
   net.run_for(50ms);
   open();
-  book->begin_tenure("amqp/main/calls"), book->whole("amqp/main/calls");
-  EXPECT_EQ(book->on_message("amqp/main/calls", "c-1", once, true).verdict, Verdict::kRun);
+  book->begin_exclusive_reading("amqp/main/calls"), book->mark_complete("amqp/main/calls");
+  EXPECT_EQ(book->decide("amqp/main/calls", "c-1", once, true).verdict, Verdict::kRun);
 }
 
 TEST_F(BookTest, ManyCommitsShareASync) {
   for (int i = 0; i < 1000; ++i) {
     const std::string k = key_of("f", "c-" + std::to_string(i));
     book->take(k, call());
-    book->attempt(k, 1, {});
+    book->add_attempt(k, 1, {});
   }
   net.run_for(50ms);
   EXPECT_EQ(records_on_disk(), 1000U);
@@ -93,11 +93,11 @@
 
 TEST_F(BookTest, ACertainDeliveryLeavesNothing) {
   book->take(key, call());
-  book->attempt(key, 1, {});
+  book->add_attempt(key, 1, {});
   book->answer(key, served());
   net.run_for(10ms);
   EXPECT_EQ(records_on_disk(), 1U);
-  book->delivered(key, Delivered::kCertain);
+  book->delivered(key, AfterDelivery::kDropRecord);
   net.run_for(10ms);
   EXPECT_EQ(records_on_disk(), 0U);
   EXPECT_EQ(book->records(), 0U);
@@ -107,10 +107,10 @@
 TEST_F(BookTest, AnUnsureDeliveryIsRememberedWithoutItsAnswer) {
   book->take(key, call(true));
   book->answer(key, served(), [] {});
-  book->delivered(key, Delivered::kUnsure, 5000);
+  book->delivered(key, AfterDelivery::kKeepWithoutAnswer, 5000);
   net.run_for(10ms);
   open();
-  EXPECT_EQ(book->on_message("amqp/main/calls", "c-1", once, true).verdict, Verdict::kAcknowledge);
+  EXPECT_EQ(book->decide("amqp/main/calls", "c-1", once, true).verdict, Verdict::kAcknowledge);
   EXPECT_TRUE(book->find(key)->answer->body.empty());
   net.run_for(7s);
   EXPECT_FALSE(book->find(key));
@@ -120,7 +120,7 @@
 TEST_F(BookTest, ACallThatWasNeverSentCostsNoWrite) {
   book->take(key, call());
   book->answer(key, served());
-  book->delivered(key, Delivered::kCertain);
+  book->delivered(key, AfterDelivery::kDropRecord);
   net.run_for(100ms);
   EXPECT_EQ(disk.commits, 0U);
 }
@@ -129,24 +129,24 @@
 TEST_F(BookTest, ForgettingAnOpenRecordEndsTheCoverageOfItsQueue) {
   options.keep = 10s;
   open();
-  book->begin_tenure("amqp/main/calls"), book->whole("amqp/main/calls");
+  book->begin_exclusive_reading("amqp/main/calls"), book->mark_complete("amqp/main/calls");
   book->take(key, call());
-  book->attempt(key, 1, {});
+  book->add_attempt(key, 1, {});
   net.run_for(10ms);
   open();
-  EXPECT_EQ(book->coverage("amqp/main/calls"), Coverage::kWhole);
+  EXPECT_EQ(book->coverage("amqp/main/calls"), Coverage::kComplete);
   net.run_for(12s);
   EXPECT_FALSE(book->find(key));
   EXPECT_EQ(book->coverage("amqp/main/calls"), Coverage::kNone);
   open();
   EXPECT_EQ(book->coverage("amqp/main/calls"), Coverage::kNone);  // and so for the next life
-  EXPECT_EQ(book->on_message("amqp/main/calls", "c-1", once, true).verdict, Verdict::kFail);
+  EXPECT_EQ(book->decide("amqp/main/calls", "c-1", once, true).verdict, Verdict::kFail);
 }
 
 TEST_F(BookTest, AnotherReaderEndsTheCoverage) {
-  book->begin_tenure("f"), book->whole("f");
-  book->end_tenure("f");
-  book->begin_tenure("f");
+  book->begin_exclusive_reading("f"), book->mark_complete("f");
+  book->end_exclusive_reading("f");
+  book->begin_exclusive_reading("f");
   EXPECT_EQ(book->coverage("f"), Coverage::kNone);
 }
 
@@ -156,16 +156,16 @@
   disk.full = true;
   bool left = false;
   book->take(key, call());
-  book->attempt(key, 1, [&] { left = true; });
+  book->add_attempt(key, 1, [&] { left = true; });
   net.run_for(5s);
   EXPECT_FALSE(left);
   EXPECT_EQ(said, std::vector<bool>{false});
-  EXPECT_NE(book->closed().find("no space left"), std::string::npos) << book->closed();
+  EXPECT_NE(book->refusal_reason().find("no space left"), std::string::npos) << book->refusal_reason();
   disk.full = false;
   net.run_for(1s);
   EXPECT_TRUE(left);  // nothing was lost meanwhile
   EXPECT_EQ(said, (std::vector<bool>{false, true}));
-  EXPECT_TRUE(book->closed().empty());
+  EXPECT_TRUE(book->refusal_reason().empty());
 }
 
 // A disk that does not write must not make answers late (rule 1).
@@ -189,22 +189,22 @@
   options.most_records = 3;
   open();
   for (int i = 0; i < 3; ++i) book->take(key_of("f", std::to_string(i)), call());
-  EXPECT_NE(book->closed().find("as much as it may"), std::string::npos);
+  EXPECT_NE(book->refusal_reason().find("as much as it may"), std::string::npos);
   book->forget(key_of("f", "1"));
-  EXPECT_TRUE(book->closed().empty());
+  EXPECT_TRUE(book->refusal_reason().empty());
   options.most_records = 100, options.most_bytes = 10'000;
   open();
   Record big = call(true);
   big.body.assign(20'000, 'x');
   book->take(key, big);
-  EXPECT_FALSE(book->closed().empty());
+  EXPECT_FALSE(book->refusal_reason().empty());
   EXPECT_GE(book->usage("amqp/main/calls").bytes, 20'000U);
 }
 
 TEST_F(BookTest, AWallClockThatJumpsForgetsNothing) {
   book->take(key, call(true));
   book->answer(key, served(), [] {});
-  book->delivered(key, Delivered::kKept, 60'000);
+  book->delivered(key, AfterDelivery::kKeepAnswer, 60'000);
   net.wall_clock_offset_ms = 1000LL * 3600 * 24 * 400;
   net.run_for(30s);
   EXPECT_TRUE(book->find(key));
@@ -228,7 +228,7 @@
     const std::string one = key_of("amqp/main/calls", std::to_string(i));
     book->take(one, call(true));
     book->answer(one, served(), [] {});
-    book->delivered(one, Delivered::kKept, 500);
+    book->delivered(one, AfterDelivery::kKeepAnswer, 500);
   }
   ASSERT_TRUE(net.run_until([&] { return book->records() < 1000; }));
   EXPECT_GE(book->records(), 800U);  // calls go on between the turns
@@ -240,7 +240,7 @@
   net.run_for(10ms);
   disk.data.at(key)[20] ^= 1;
   store::MemoryStore fresh(net, disk);
-  Book again(net, fresh, options);
+  CallLedger again(net, fresh, options);
   const auto bad = again.load();
   ASSERT_TRUE(bad);
   EXPECT_NE(bad->find("amqp/main/calls / c-1"), std::string::npos) << *bad;
--- a/tests/ledger/histories_test.cpp
+++ b/tests/ledger/histories_test.cpp
@@ -34,7 +34,7 @@
     disk_.least_delay = 1ms, disk_.most_delay = 4ms;
     for (int i = 0; i < 3; ++i) messages_["m" + std::to_string(i)];
     begin();
-    if (sole_) book_->begin_tenure("f"), book_->whole("f");
+    if (sole_) book_->begin_exclusive_reading("f"), book_->mark_complete("f");
     net_.run_for(20ms);
   }
 
@@ -106,7 +106,7 @@
 
   void begin() {
     store_ = std::make_unique<store::MemoryStore>(net_, disk_);
-    book_ = std::make_unique<ledger::Book>(net_, *store_, ledger::BookOptions{});
+    book_ = std::make_unique<ledger::CallLedger>(net_, *store_, ledger::CallLedgerOptions{});
     RC_ASSERT(!book_->load());
     Intake::Options o;
     o.book = book_.get(), o.front = "f";
@@ -159,7 +159,7 @@
     if (effect_.semantics == Semantics::kRepeatable) return leave(name, 0);
     const std::size_t number = open.attempts.size();
     open.attempts.push_back(0);
-    const std::size_t recorded = book_->attempt(key(name), 1, [this, name, number, life = life_] {
+    const std::size_t recorded = book_->add_attempt(key(name), 1, [this, name, number, life = life_] {
       if (life == life_) leave(name, number);
     });
     calls_.at(name).attempts[number] = recorded;
@@ -180,7 +180,7 @@
     if (runs) {
       open->second.ok = open->second.may_have_run = true;
     } else if (effect_.semantics != Semantics::kRepeatable) {
-      book_->never_ran(key(o.name), open->second.attempts[o.number]);
+      book_->mark_never_ran(key(o.name), open->second.attempts[o.number]);
     }
   }
   void answer(unsigned pick) {
@@ -246,7 +246,7 @@
   sim::Network net_;
   store::MemoryDisk disk_;
   std::unique_ptr<store::MemoryStore> store_;
-  std::unique_ptr<ledger::Book> book_;
+  std::unique_ptr<ledger::CallLedger> book_;
   std::unique_ptr<Intake> intake_;
   std::map<std::string, Message> messages_;
   std::map<std::string, Open> calls_;
--- a/tests/ledger/record_test.cpp
+++ b/tests/ledger/record_test.cpp
@@ -13,7 +13,7 @@
   r.body = std::string("\0body\xff", 6);
   r.replies = {{"answers", "c-1"}, {"", ""}};
   r.callback = "http://127.0.0.1:9/x";
-  r.attempts = {{3, 17, Fate::kNeverRan}, {5, 18, Fate::kOut}};
+  r.attempts = {{3, 17, AttemptState::kNeverRan}, {5, 18, AttemptState::kInFlight}};
   r.answer = Answer{Answer::Kind::kRefused, "no room", "b", 250, 19};
   r.delivered = true, r.keep_until_ms = 20;
   return r;
--- a/tests/ledger/ruling_test.cpp
+++ b/tests/ledger/recovery_test.cpp
@@ -1,5 +1,5 @@
 // The table of docs/ledger.md, row by row; the page's own rows are read and held against the code.
-#include "ledger/ruling.h"
+#include "ledger/recovery.h"
 
 #include <gtest/gtest.h>
 
@@ -21,9 +21,9 @@
   Record r;
   r.taken_ms = kNow - 1000, r.give_up_ms = kNow + 1000;
   if (last == "taken") return r;
-  r.attempts = {{1, kNow - 900, Fate::kNeverRan}};
+  r.attempts = {{1, kNow - 900, AttemptState::kNeverRan}};
   if (last == "never ran") return r;
-  r.attempts.push_back({2, kNow - 800, Fate::kOut});
+  r.attempts.push_back({2, kNow - 800, AttemptState::kInFlight});
   if (last == "may have run") return r;
   if (last == "may have run, window over") return r.attempts.back().sent_ms = kNow - 2000, r;
   if (last == "may have run, clock set back") return r.attempts.back().sent_ms = kNow + 1, r;
@@ -70,7 +70,7 @@
     {"repeatable", kRead}, {"keyed, all", kKeyedAll}, {"keyed, zone or cell", kKeyedCell}, {"once", kOnce}};
 
 // last record | redelivered | whole coverage | repeatable | keyed, all | keyed, zone or cell | once
-TEST(Ruling, MessagesAsThePageSays) {
+TEST(RecoveryDecision, MessagesAsThePageSays) {
   const auto table = rows("A message names the call", 7);
   ASSERT_GE(table.size(), 14U);
   std::size_t checked = 0;
@@ -82,8 +82,9 @@
         if (row[2] != "any" && whole != (row[2] == "yes")) continue;
         const char* names[] = {"repeatable", "keyed, all", "keyed, zone or cell", "once"};
         for (std::size_t c = 0; c < 4; ++c) {
-          const Ruling r = rule_on_message(record ? &*record : nullptr, kClasses.at(names[c]), redelivered,
-                                           whole ? Coverage::kWhole : Coverage::kNone, kNow);
+          const RecoveryDecision r =
+              decide_on_message(record ? &*record : nullptr, kClasses.at(names[c]), redelivered,
+                                whole ? Coverage::kComplete : Coverage::kNone, kNow);
           EXPECT_EQ(text_of(r.verdict), row[3 + c])
               << row[0] << ", redelivered " << redelivered << ", whole " << whole << ", " << names[c];
           if (r.verdict == Verdict::kFail) {
@@ -100,7 +101,7 @@
 }
 
 // last record | time left | repeatable | keyed, all | keyed, zone or cell | once
-TEST(Ruling, OwedCallsAsThePageSays) {
+TEST(RecoveryDecision, OwedCallsAsThePageSays) {
   const auto table = rows("An owed call is found", 6);
   ASSERT_GE(table.size(), 6U);
   for (const auto& row : table) {
@@ -111,7 +112,7 @@
       record->give_up_ms = left ? kNow + 1 : kNow;
       const char* names[] = {"repeatable", "keyed, all", "keyed, zone or cell", "once"};
       for (std::size_t c = 0; c < 4; ++c)
-        EXPECT_EQ(text_of(rule_on_owed(*record, kClasses.at(names[c]), kNow).verdict), row[2 + c])
+        EXPECT_EQ(text_of(decide_on_owed(*record, kClasses.at(names[c]), kNow).verdict), row[2 + c])
             << row[0] << ", time left " << left << ", " << names[c];
     }
   }
--- a/tests/ledger/restart_test.cpp
+++ b/tests/ledger/restart_test.cpp
@@ -67,7 +67,8 @@
     }
   }
   void whole_coverage() {
-    ASSERT_TRUE(net.run_until([&] { return book->coverage("amqp/main/calls") == ledger::Coverage::kWhole; }));
+    ASSERT_TRUE(
+        net.run_until([&] { return book->coverage("amqp/main/calls") == ledger::Coverage::kComplete; }));
   }
   int kills = 0;
 };
@@ -114,7 +115,7 @@
   }
 }
 INSTANTIATE_TEST_SUITE_P(Ledger, EveryStep,
-                         testing::Combine(testing::ValuesIn(ledger::kSteps),
+                         testing::Combine(testing::ValuesIn(ledger::kCrashPoints),
                                           testing::Values(Mode::kTransaction, Mode::kConfirm, Mode::kTake),
                                           testing::Bool()),
                          [](const auto& info) {
@@ -220,7 +221,7 @@
   town.start();
   store::MemoryDisk disk;
   store::MemoryStore store(town.net, disk);
-  ledger::Book book(town.net, store, {});
+  ledger::CallLedger book(town.net, store, {});
   Log log;
   auto other_settings = [&] {
     auto copy = std::make_shared<config::Settings>(*town.config);
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -22,7 +22,7 @@
     heard += bytes;
     return bytes.size();
   }
-  void on_closed(io::Closed) override { ++closed; }
+  void on_closed(io::CloseReason) override { ++closed; }
 };
 
 TEST(Loop, EndsWithAFailureNotYetTold) {
--- a/tests/store/lmdb_test.cpp
+++ b/tests/store/lmdb_test.cpp
@@ -65,8 +65,8 @@
     dir = mkdtemp(pattern.data());
   }
   ~Lmdb() override { fs::remove_all(dir); }
-  void on_trouble(const std::string& why, bool) override { troubles.push_back(why); }
-  void on_well() override { ++well; }
+  void on_write_failed(const std::string& why, bool) override { troubles.push_back(why); }
+  void on_write_recovered() override { ++well; }
   void on_durable(std::size_t commits) override { durable += commits; }
   std::size_t durable = 0;
   // All that was given before is on disk.
@@ -76,8 +76,8 @@
     ASSERT_TRUE(mail.run_until([&] { return durable >= wanted; }));
   }
 
-  Opened open(std::size_t most_mb = 64) {
-    Opened opened = open_lmdb(options_in(dir + "/l", most_mb), mail.post());
+  OpenResult open(std::size_t most_mb = 64) {
+    OpenResult opened = open_lmdb(options_in(dir + "/l", most_mb), mail.post());
     if (opened.store) opened.store->serve(this);
     return opened;
   }
@@ -92,7 +92,7 @@
     return found;
   }
   void fill(int records = 500) {
-    Opened o = open();
+    OpenResult o = open();
     ASSERT_TRUE(o.store) << o.why;
     for (int i = 0; i < records; ++i)
       o.store->put(key_of("f", std::to_string(i)), value(std::string(100, 'x')));
@@ -103,19 +103,19 @@
 
 TEST_F(Lmdb, KeepsTheLastWordOnEachKey) {
   {
-    Opened o = open();
+    OpenResult o = open();
     ASSERT_TRUE(o.store) << o.why;
     o.store->put("a", value("1")), o.store->put("a", value("2")), o.store->put("b", value());
     o.store->erase("b"), o.store->erase("never there");
     keep(*o.store);
   }
-  Opened o = open();
+  OpenResult o = open();
   ASSERT_TRUE(o.store) << o.why;
   EXPECT_EQ(all(*o.store), (std::map<std::string, std::string>{{"a", value("2")}}));
 }
 
 TEST_F(Lmdb, EveryCommitIsTold) {
-  Opened o = open();
+  OpenResult o = open();
   for (int i = 0; i < 200; ++i) {
     o.store->put("k" + std::to_string(i), value());
     o.store->commit();
@@ -128,11 +128,11 @@
   const std::string one = key_of("f", std::string(600, 'n') + "1"),
                     two = key_of("f", std::string(600, 'n') + "2");
   {
-    Opened o = open();
+    OpenResult o = open();
     o.store->put(one, value("1")), o.store->put(two, value("2"));
     keep(*o.store);
   }
-  Opened o = open();
+  OpenResult o = open();
   const auto found = all(*o.store);
   ASSERT_EQ(found.size(), 2U);
   EXPECT_EQ(found.at(one), value("1"));
@@ -146,12 +146,12 @@
     const pid_t child = fork();
     if (child == 0) {
       Mail own;
-      Opened opened = open_lmdb(options_in(dir + "/l"), own.post());
+      OpenResult opened = open_lmdb(options_in(dir + "/l"), own.post());
       if (!opened.store) _exit(1);
       struct Told : StoreEvents {
         int last = -1, pipe = -1;
-        void on_trouble(const std::string&, bool) override {}
-        void on_well() override {}
+        void on_write_failed(const std::string&, bool) override {}
+        void on_write_recovered() override {}
         void on_durable(std::size_t commits) override {
           for (; commits > 0; --commits) {
             ++last;
@@ -178,7 +178,7 @@
     int status = 0;
     ASSERT_EQ(waitpid(child, &status, 0), child);
     ASSERT_TRUE(WIFSIGNALED(status));
-    Opened o = open();
+    OpenResult o = open();
     ASSERT_TRUE(o.store) << o.why;
     const auto found = all(*o.store);
     for (int i = 0; i <= last; ++i)
@@ -188,9 +188,9 @@
 }
 
 TEST_F(Lmdb, OneWriterAtATime) {
-  Opened first = open();
+  OpenResult first = open();
   ASSERT_TRUE(first.store);
-  Opened second = open();
+  OpenResult second = open();
   EXPECT_FALSE(second.store);
   EXPECT_NE(second.why.find("in use by another process"), std::string::npos) << second.why;
 }
@@ -199,7 +199,7 @@
   fill();
   const auto size = fs::file_size(file());
   std::ofstream(dir + "/l/version") << "laureltide-ledger 2\n";
-  Opened o = open();
+  OpenResult o = open();
   EXPECT_FALSE(o.store);
   EXPECT_NE(o.why.find("version 2, newer than this program's 1"), std::string::npos) << o.why;
   EXPECT_EQ(fs::file_size(file()), size);
@@ -218,10 +218,10 @@
   const auto size = fs::file_size(file());
   for (const double part : {0.9, 0.5, 0.1}) {
     fs::resize_file(file(), static_cast<std::uintmax_t>(static_cast<double>(size) * part) / 4096 * 4096);
-    const Opened o = open();
+    const OpenResult o = open();
     EXPECT_FALSE(o.store) << part;
     EXPECT_NE(o.why.find("cut off"), std::string::npos) << o.why;
-    EXPECT_FALSE(walk(options_in(dir + "/l"), [](auto, auto) {}).why.empty());
+    EXPECT_FALSE(scan(options_in(dir + "/l"), [](auto, auto) {}).why.empty());
   }
 }
 
@@ -238,7 +238,7 @@
     std::string bad = whole;
     for (std::size_t i = 0; i < 4096; ++i) bad[at + i] = static_cast<char>(i * 37 + at / 4096);
     std::ofstream(file(), std::ios::binary | std::ios::trunc) << bad;
-    const Opened o = open();
+    const OpenResult o = open();
     ++pages;
     seen += !o.store;
   }
@@ -252,7 +252,7 @@
 TEST_F(Lmdb, ATornLastCommitLeavesTheOneBefore) {
   fill();
   {
-    Opened o = open();
+    OpenResult o = open();
     o.store->put(key_of("f", "last"), value());
     keep(*o.store);
   }
@@ -267,7 +267,7 @@
     for (std::size_t i = 100; i < 160; ++i)
       torn[meta + i] = 0;  // counters of the meta page: as before the first commit
     std::ofstream(file(), std::ios::binary | std::ios::trunc) << torn;
-    Opened o = open();
+    OpenResult o = open();
     if (!o.store) continue;
     const auto found = all(*o.store);
     stood += found.size() >= 500;
@@ -276,7 +276,7 @@
 }
 
 TEST_F(Lmdb, AFullStoreWaitsAndGoesOn) {
-  Opened o = open(1);
+  OpenResult o = open(1);
   ASSERT_TRUE(o.store) << o.why;
   for (int i = 0; i < 40; ++i) o.store->put("big" + std::to_string(i), value(std::string(100'000, 'x')));
   o.store->commit();
@@ -292,7 +292,7 @@
 
 TEST_F(Lmdb, ADirectoryThatCannotBeWrittenIsSaid) {
   std::ofstream(dir + "/l") << "a file stands there";
-  const Opened o = open();
+  const OpenResult o = open();
   EXPECT_FALSE(o.store);
   EXPECT_NE(o.why.find(dir + "/l"), std::string::npos) << o.why;
 }
@@ -308,12 +308,12 @@
     Mail own;
     LmdbOptions o;
     o.directory = dir + "/l", o.most_mb = 64;
-    Opened opened = open_lmdb(o, own.post());
+    OpenResult opened = open_lmdb(o, own.post());
     struct Heard : StoreEvents {
       bool for_good = false, well = false, kept = false;
       void on_durable(std::size_t) override { kept = true; }
-      void on_trouble(const std::string&, bool good) override { for_good = good; }
-      void on_well() override { well = true; }
+      void on_write_failed(const std::string&, bool good) override { for_good = good; }
+      void on_write_recovered() override { well = true; }
     } heard;
     opened.store->serve(&heard);
     const rlimit limit{fs::file_size(file()), fs::file_size(file())};
@@ -332,7 +332,7 @@
   int status = 0;
   waitpid(child, &status, 0);
   EXPECT_EQ(said, 'y');
-  Opened o = open();  // what was kept before is there
+  OpenResult o = open();  // what was kept before is there
   ASSERT_TRUE(o.store) << o.why;
   EXPECT_EQ(all(*o.store).size(), 10U);
 }
@@ -368,14 +368,14 @@
 
 TEST_F(Lmdb, CompactCopiesWhileItIsInUse) {
   fill();
-  Opened o = open();
+  OpenResult o = open();
   ASSERT_TRUE(o.store);
-  EXPECT_EQ(copy_compact(options_in(dir + "/l"), dir + "/copy"), "");
+  EXPECT_EQ(copy_compacted(options_in(dir + "/l"), dir + "/copy"), "");
   std::size_t n = 0;
-  const Walked w = walk(options_in(dir + "/copy"), [&](auto, auto) { ++n; });
+  const ScanResult w = scan(options_in(dir + "/copy"), [&](auto, auto) { ++n; });
   EXPECT_EQ(w.why, "");
   EXPECT_EQ(n, 500U);
-  EXPECT_NE(copy_compact(options_in(dir + "/l"), dir + "/copy"), "");  // never over another
+  EXPECT_NE(copy_compacted(options_in(dir + "/l"), dir + "/copy"), "");  // never over another
 }
 
 }  // namespace
--- a/tests/worker/worker_test.cpp
+++ b/tests/worker/worker_test.cpp
@@ -328,7 +328,7 @@
   }
   void on_open() override { open = true; }
   std::size_t on_bytes(std::string_view b) override { return got += b, b.size(); }
-  void on_closed(io::Closed) override { closed = true; }
+  void on_closed(io::CloseReason) override { closed = true; }
 };
 
 TEST(WorkerSession, EachBreachEndsTheConnectionAndRunsNothing) {
