--- a/src/controller/idempotency_key.cpp
+++ b/src/controller/idempotency_key.cpp
@@ -66,7 +66,8 @@
     return {KeyDecision::Kind::kMismatch, 0, "this Idempotency-Key was used for another request"};
   if (record->answer) return {KeyDecision::Kind::kAnswer, 0, {}};
   // This controller alone owns the key, so every attempt ever sent for it is in this ledger.
-  const ledger::Ruling r = ledger::rule_on_message(record, effect, true, ledger::Coverage::kWhole, now_ms);
+  const ledger::RecoveryDecision r =
+      ledger::decide_on_message(record, effect, true, ledger::Coverage::kComplete, now_ms);
   switch (r.verdict) {
     case ledger::Verdict::kRun: return {};
     case ledger::Verdict::kRunUntil: return {KeyDecision::Kind::kRunUntil, r.until_ms, {}};
--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -7,10 +7,10 @@
 // A name not seen since the start: the ledger's record from before the restart decides.
 Intake::Decision Intake::decide_unknown_name(const std::string& name, Delivery delivery, bool redelivered,
                                              const ledger::Effect& effect) {
-  ledger::Book* book = options_.book;
-  const ledger::Ruling ruling =
-      book ? book->on_message(options_.front, name, effect, redelivered)
-           : ledger::rule_on_message(nullptr, effect, redelivered, ledger::Coverage::kNone, 0);
+  ledger::CallLedger* book = options_.book;
+  const ledger::RecoveryDecision ruling =
+      book ? book->decide(options_.front, name, effect, redelivered)
+           : ledger::decide_on_message(nullptr, effect, redelivered, ledger::Coverage::kNone, 0);
   switch (ruling.verdict) {
     case ledger::Verdict::kRun:
       records_[name].deliveries.push_back(std::move(delivery));
@@ -91,8 +91,8 @@
       std::erase_if(record.deliveries, [&](const Delivery& d) { return d.epoch == epoch && d.tag == tag; });
   if (!broker_confirmed) record.unconfirmed_acknowledgements += acknowledged;
   if (options_.book && acknowledged > 0 && record.deliveries.empty())
-    options_.book->delivered(key(name),
-                             broker_confirmed ? ledger::Delivered::kCertain : ledger::Delivered::kUnsure);
+    options_.book->delivered(key(name), broker_confirmed ? ledger::AfterDelivery::kDropRecord
+                                                         : ledger::AfterDelivery::kKeepWithoutAnswer);
   if (record.deliveries.empty() && record.unconfirmed_acknowledgements == 0) records_.erase(it);
 }
 
@@ -113,7 +113,7 @@
     const bool current = it != records_.end() && it->second.answer && it->second.answered_at == at;
     if (current && now - at < options_.answer_ttl && records_.size() <= options_.max_names) return;
     if (current) {
-      if (options_.book) options_.book->leave(key(name));
+      if (options_.book) options_.book->release(key(name));
       records_.erase(it);
     }
     answer_order_.pop_front();
--- a/src/controller/invoke.cpp
+++ b/src/controller/invoke.cpp
@@ -34,7 +34,7 @@
 }  // namespace
 
 InvokeFront::InvokeFront(io::Host& host, Core& core, const config::Settings& settings, Log log,
-                         ledger::Book* book)
+                         ledger::CallLedger* book)
     : host_(host),
       core_(core),
       options_(settings.invoke),
@@ -298,7 +298,7 @@
       // The failure is recorded, so that a repeated request gets the same answer.
       Answer failed{Answer::Kind::kFailed, found.reason, {}, {}, {}};
       book_->answer(record_key, to_ledger(failed), [] {});
-      book_->delivered(record_key, ledger::Delivered::kKept, ms(options_.keep));
+      book_->delivered(record_key, ledger::AfterDelivery::kKeepAnswer, ms(options_.keep));
       return respond_with_answer(ticket, id, failed);
     }
     case KeyDecision::Kind::kRun:
@@ -312,9 +312,9 @@
   if (recorded) {
     http::Headers headers;
     headers.add("Retry-After", "1");
-    if (const std::string why = book_->closed(); !why.empty())
+    if (const std::string why = book_->refusal_reason(); !why.empty())
       return respond_with_problem(ticket, 503, why, std::move(headers));
-    const ledger::Book::Usage usage = book_->usage(front(parsed.tenant));
+    const ledger::CallLedger::Usage usage = book_->usage(front(parsed.tenant));
     if (usage.records >= options_.max_deferred || usage.bytes >= options_.max_deferred_mb << 20)
       return respond_with_problem(
           ticket, 429, "the tenant's deferred and named calls hold as much as they may", std::move(headers));
@@ -398,7 +398,7 @@
     if (!record->callback.empty()) return start_callback(id, tenant);
     // A refused call did not run: a repeat with the same key runs, so no record is needed.
     if (!deferred && answer.kind == Answer::Kind::kRefused) return book_->forget(record_key);
-    book_->delivered(record_key, ledger::Delivered::kKept, ms(options_.keep));
+    book_->delivered(record_key, ledger::AfterDelivery::kKeepAnswer, ms(options_.keep));
   };
   if (!it->second.recorded) return deliver();
   book_->answer(key(tenant, id), to_ledger(answer), [deliver, alive = alive_] {
@@ -491,7 +491,7 @@
                          {"outcome", text_of(answer.kind)},
                          {"call", c.id}});
   }
-  book_->step("callback-given");
+  book_->crash_point("callback-given");
   c.exchange = std::make_unique<http::Exchange>(
       host_, url->address, request, kCallbackTimeout, http::Limits{},
       [this, id = c.id](const http::Exchange::Result& r) {
@@ -514,8 +514,8 @@
   const auto it = callbacks_.find(id);
   if (it == callbacks_.end()) return;
   // Even if the callback failed, the answer can still be polled.
-  book_->delivered(key(it->second->tenant, id), ledger::Delivered::kKept, ms(options_.keep));
-  finished_callbacks_.bury(std::move(it->second));
+  book_->delivered(key(it->second->tenant, id), ledger::AfterDelivery::kKeepAnswer, ms(options_.keep));
+  finished_callbacks_.delete_later(std::move(it->second));
   callbacks_.erase(it);
   if (callback_queue_.empty()) return;
   const auto [next, tenant] = callback_queue_.front();
@@ -528,7 +528,7 @@
 void InvokeFront::recover_owed_calls() {
   for (std::uint32_t t = 0; t < tenant_names_.size(); ++t)
     for (const std::string& found : book_->owed(front(t))) {
-      book_->step("owed-found");
+      book_->crash_point("owed-found");
       backlog_.emplace_back(t, ledger::split_key(found).second);
     }
   if (!backlog_.empty())
@@ -550,7 +550,7 @@
       if (!record->callback.empty())
         start_callback(id, tenant);
       else
-        book_->delivered(record_key, ledger::Delivered::kKept, ms(options_.keep));
+        book_->delivered(record_key, ledger::AfterDelivery::kKeepAnswer, ms(options_.keep));
       continue;
     }
     OpenCall& open = open_calls_[id];
--- a/src/members/list_subscriber.cpp
+++ b/src/members/list_subscriber.cpp
@@ -48,9 +48,9 @@
   return used;
 }
 
-void ListSubscriber::on_closed(io::Closed reason) {
-  disconnect(reason == io::Closed::kNeverOpened ? "cannot connect to the list service"
-                                                : "list service closed the connection");
+void ListSubscriber::on_closed(io::CloseReason reason) {
+  disconnect(reason == io::CloseReason::kNeverOpened ? "cannot connect to the list service"
+                                                     : "list service closed the connection");
 }
 
 void ListSubscriber::disconnect(const std::string& reason) {
--- a/src/platform/feed.cpp
+++ b/src/platform/feed.cpp
@@ -220,8 +220,8 @@
   return bytes.size();
 }
 
-void EventSubscriber::on_closed(io::Closed reason) {
-  disconnect(reason == io::Closed::kNeverOpened ? "no connection to the bus" : "the bus hung up");
+void EventSubscriber::on_closed(io::CloseReason reason) {
+  disconnect(reason == io::CloseReason::kNeverOpened ? "no connection to the bus" : "the bus hung up");
 }
 
 void EventSubscriber::on_silence_timeout() {
--- a/src/platform/feed.h
+++ b/src/platform/feed.h
@@ -106,7 +106,7 @@
 
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
-  void on_closed(io::Closed reason) override;
+  void on_closed(io::CloseReason reason) override;
 
  private:
   void dial();
--- a/src/sim/network.cpp
+++ b/src/sim/network.cpp
@@ -29,7 +29,7 @@
       : net_(net), link_(std::move(link)), end_(end) {}
   ~SimConnection() override {
     link_->ends[end_].events = nullptr;
-    if (!link_->closed && !finished_) net_.close(link_, 1 - end_, io::Closed::kBroken);
+    if (!link_->closed && !finished_) net_.close(link_, 1 - end_, io::CloseReason::kBroken);
   }
   void write(std::string_view bytes) override {
     if (link_->closed || finished_) return;
@@ -47,8 +47,9 @@
     if (link_->closed || std::exchange(finished_, true)) return;
     // The end of the stream arrives after the bytes written before it.
     const Time at = std::max(net_.now_, link_->ends[1 - end_].last_arrival) + net_.options_.max_delay;
-    net_.after(at - net_.now_,
-               [net = &net_, link = link_, end = end_] { net->close(link, 1 - end, io::Closed::kByPeer); });
+    net_.after(at - net_.now_, [net = &net_, link = link_, end = end_] {
+      net->close(link, 1 - end, io::CloseReason::kByPeer);
+    });
   }
 
  private:
@@ -128,11 +129,11 @@
   after(random_delay() + extra_delay, [this, link, options] {
     if (link->closed || !link->ends[0].events) return;
     if (silent_addresses_.contains(link->to)) {  // the SYN gets no reply
-      after(options.connect_timeout, [this, link] { close(link, 0, io::Closed::kNeverOpened); });
+      after(options.connect_timeout, [this, link] { close(link, 0, io::CloseReason::kNeverOpened); });
       return;
     }
     const auto listener = listeners_.find(link->to);
-    if (listener == listeners_.end()) return close(link, 0, io::Closed::kNeverOpened);
+    if (listener == listeners_.end()) return close(link, 0, io::CloseReason::kNeverOpened);
     link->open = true;
     io::ConnectionEvents* server_events =
         listener->second->accept(std::make_unique<SimConnection>(*this, link, 1));
@@ -190,7 +191,7 @@
   end.inbox.insert(0, bytes, consumed, std::string::npos);
 }
 
-void Network::close(const std::shared_ptr<Link>& link, int notified_end, io::Closed reason) {
+void Network::close(const std::shared_ptr<Link>& link, int notified_end, io::CloseReason reason) {
   if (std::exchange(link->closed, true)) return;
   links_.erase(link);
   after(random_delay(), [link, notified_end, reason] {
@@ -227,9 +228,10 @@
   const auto links = links_;
   for (const auto& link : links) {
     if (link->to != to || link->closed) continue;
-    close(link, 0, io::Closed::kBroken);
+    close(link, 0, io::CloseReason::kBroken);
     after(random_delay(), [link] {
-      if (auto* events = std::exchange(link->ends[1].events, nullptr)) events->on_closed(io::Closed::kBroken);
+      if (auto* events = std::exchange(link->ends[1].events, nullptr))
+        events->on_closed(io::CloseReason::kBroken);
     });
   }
 }
