--- a/src/ledger/call_ledger.h
+++ b/src/ledger/call_ledger.h
@@ -22,22 +22,22 @@
 
 namespace laureltide::ledger {
 
-// How a caller has its answer.
+// What is kept of a record after its answer was delivered.
 enum class AfterDelivery {
-  kDropRecord,         // nothing can ask for it again: the record goes
+  kDropRecord,         // nobody can ask for it again: the record is removed
   kKeepWithoutAnswer,  // its message may come once more, to be acknowledged: that is remembered, without the
                        // answer
-  kKeepAnswer,         // it may be asked for again, and is answered the same
+  kKeepAnswer,         // a client may ask again and gets the same answer
 };
 
 struct CallLedgerOptions {
   std::size_t most_records = 1'000'000;
   std::size_t most_bytes = 1U << 30;
-  // How long a record is kept for a message or a client that may still come; then it goes.
+  // How long a record is kept for a message or a client that may still come; it is removed afterwards.
   Duration keep = std::chrono::hours(24);
 };
 
-// Named moments at which a crash means something else than a moment before; tests end the process there.
+// Points at which a crash has another outcome than just before; tests end the process there.
 constexpr const char* kCrashPoints[] = {"take-queued",  "take-durable",  "attempt-queued", "attempt-durable",
                                         "attempt-sent", "attempt-ended", "answer-queued",  "answer-durable",
                                         "answer-given", "commit-sent",   "commit-known",   "delivered-queued",
@@ -49,41 +49,43 @@
   CallLedger(io::Host& host, store::Store& store, CallLedgerOptions options);
   ~CallLedger() override;
 
-  // Reads the store. Nothing is served before; a reason if a record cannot be read, and then nothing may be.
+  // Reads the store; must be called first. Returns the reason if a record can't be read: the ledger is then
+  // unusable.
   std::optional<std::string> load();
 
   // ---- What a call or message means ----
   const Record* find(const std::string& key) const;
-  // Taken in this life: whoever took it knows more than the record.
+  // Whether this process is running the call: its owner then knows more than the record.
   bool active(const std::string& key) const;
   RecoveryDecision decide(const std::string& front, const std::string& name, const Effect& effect,
                           bool redelivered) const;
-  // Calls of earlier lives that nobody will bring again, by front.
+  // The keys of a front's calls of earlier processes that no message or client will bring again.
   std::vector<std::string> owed(const std::string& front) const;
 
-  // ---- A call's life ----
-  // An owed one is durable when `done` comes; another is written with its first attempt, and `done` is not
-  // called.
+  // ---- Progress of a call ----
+  // Adds a call. An owed call is durable when `done` is called; any other is written with its first attempt,
+  // and `done` isn't called.
   void take(const std::string& key, Record record, Done done = {});
-  // An earlier life's call is run here. `fresh`: as if nothing had been sent for it.
+  // Goes on with a call of an earlier process. `fresh`: forgets its attempts.
   void resume(const std::string& key, bool fresh);
   void add_reply(const std::string& key, ReplyTo to, Done done);
-  // Before an attempt's bytes leave; they may when `done` comes. Its number is the count before.
+  // Records an attempt, which may be sent when `done` is called. Returns its number, which counts from 0.
   std::size_t add_attempt(const std::string& key, std::uint32_t worker, Done done);
   void mark_never_ran(const std::string& key, std::size_t attempt);
-  // The final answer. With `done`, it may be given to the caller only then: when it is durable, or cannot be
-  // made so now and would come too late.
+  // Records the final answer. With `done`, the answer may be given to the caller only when that is called:
+  // once it is durable, or at once if the store fails, because a late answer is of no use.
   void answer(const std::string& key, Answer answer, Done done = {});
-  // The caller has it. What stays does so for `keep_ms`, or as the settings say.
+  // The caller has the answer. The record is kept for `keep_ms`, or as configured if that is 0.
   void delivered(const std::string& key, AfterDelivery how, std::int64_t keep_ms = 0);
   void forget(const std::string& key);
-  // When all that the book was told so far is on disk.
+  // Calls `done` once all changes so far are on disk.
   void when_durable(Done done) { commit(std::move(done)); }
-  // This life no longer follows the call; its record stays for whoever comes, as the settings say.
+  // This process stops running the call; its record is kept as configured.
   void release(const std::string& key);
 
   // ---- Coverage of a queue ----
-  // From now on this gateway alone reads it. Whole once every message that others may have had is gone.
+  // Coverage starts when this gateway becomes the only reader, and is complete once no message is left that
+  // another reader may have received.
   Coverage coverage(const std::string& front) const;
   void begin_exclusive_reading(const std::string& front);
   void mark_complete(const std::string& front);
@@ -93,7 +95,7 @@
   bool writable() const { return trouble_.empty(); }
   const std::string& write_error() const { return trouble_; }
   bool full() const { return entries_.size() >= options_.most_records || bytes_ >= options_.most_bytes; }
-  // Why nothing that needs a record may be taken now; empty if it may.
+  // Why calls that need a record must be refused now; empty if they may be accepted.
   std::string refusal_reason() const;
   std::size_t records() const { return entries_.size(); }
   std::size_t bytes() const { return bytes_; }
@@ -104,7 +106,7 @@
   std::uint64_t commits() const { return commits_; }
   std::int64_t now_ms() const;
 
-  std::function<void(bool well)> on_state;               // trouble began or ended
+  std::function<void(bool well)> on_state;               // writes began to fail or work again
   std::function<void(const char* step)> on_crash_point;  // see kCrashPoints
   void crash_point(const char* name) const {
     if (on_crash_point) on_crash_point(name);
@@ -119,11 +121,11 @@
   struct Entry {
     Record record;
     std::size_t size = 0;
-    bool held = false;            // of this life
-    bool stored = false;          // the store has been given some state of it
-    bool behind = false;          // it has changed since, and is written soon
-    std::int64_t expires_ms = 0;  // 0: not while it is open here
-    Usage* usage = nullptr;       // of its front
+    bool held = false;            // this process is running the call
+    bool stored = false;          // some state of it was passed to the store
+    bool behind = false;          // changed since then; a write is scheduled
+    std::int64_t expires_ms = 0;  // 0: doesn't expire
+    Usage* usage = nullptr;       // the total of its front
   };
   using Entries = std::unordered_map<std::string, Entry>;
   Entry* entry(const std::string& key);
@@ -140,16 +142,16 @@
   store::Store& store_;
   CallLedgerOptions options_;
   Entries entries_;
-  std::map<std::string, Usage> usage_;  // by front: as many as the settings name
+  std::map<std::string, Usage> usage_;  // by front; bounded by the configured fronts
   std::multimap<std::int64_t, std::string> expiries_;
-  std::map<std::string, bool> tenures_;  // front to whether it is whole
+  std::map<std::string, bool> tenures_;  // front to whether its coverage is complete
   std::size_t bytes_ = 0;
   std::uint64_t commits_ = 0;
   std::string trouble_;
   struct Waiting {
     Done done;
-    const char* then = nullptr;  // the step that it is
-    bool impatient = false;      // an answer, which may not wait long
+    const char* then = nullptr;  // the crash point reached when it is durable
+    bool impatient = false;      // an answer, which doesn't wait while writes fail
   };
   std::deque<Waiting> waiting_;  // for commits, in order
   std::string scratch_;
--- a/src/store/lmdb.h
+++ b/src/store/lmdb.h
@@ -1,8 +1,8 @@
 // The store on LMDB, with its own thread for writes and syncs: the loop never waits for a disk.
 //
-// Group commit: what is given while a sync is out goes with the next one, so many calls share a sync, and a
-// call waits for at most two. A directory has one writer at a time; readers (`laureltide ledger`) may come
-// and go.
+// Group commit: operations that arrive during a sync are written by the next one, so many calls share a sync,
+// and a call waits for at most two. A directory has one writer at a time; readers (`laureltide ledger`) may
+// open it at any time.
 #pragma once
 
 #include <functional>
@@ -13,20 +13,20 @@
 
 namespace laureltide::store {
 
-// What is wrong with an entry; empty: nothing. The store's own entries, whose names begin with byte 1, are
-// not shown to it. Runs in a child process too.
+// Validates an entry and returns what is wrong with it, or an empty string. It isn't called for internal
+// entries, whose keys begin with byte 1. It also runs in a child process.
 using Check = std::function<std::string(std::string_view key, std::string_view value)>;
 
 struct LmdbOptions {
   std::string directory;
-  std::string what = "ledger";  // it holds: named in its version file and in messages
-  Check check;                  // of each entry when the file is walked; none: any bytes are well
-  std::size_t most_mb = 4096;   // of the file; over it nothing more is taken
-  Duration gather{};            // a commit waits so long for company
+  std::string what = "ledger";  // what the store holds; named in the version file and in messages
+  Check check;                  // run on each entry when the file is scanned; empty: any bytes are valid
+  std::size_t most_mb = 4096;   // maximum file size; writes fail above it
+  Duration gather{};            // how long a commit waits so that others can share its sync
   enum class Sync {
-    kGroup,  // one sync for all that came meanwhile
-    kEach,   // one sync for each commit asked for: for comparison
-    kNone,   // the system writes when it likes: a crash of the machine loses what was told
+    kGroup,  // one sync for all commits requested since the last one
+    kEach,   // one sync for each commit, for comparison
+    kNone,   // no sync: a crash of the machine loses commits that were reported durable
   } sync = Sync::kGroup;
 };
 
@@ -35,22 +35,22 @@
 
 struct OpenResult {
   std::unique_ptr<Store> store;
-  std::string why;  // if there is none: what is wrong with the directory, and what to do
+  std::string why;  // if `store` is null: what is wrong with the directory, and what to do
 };
-// `post` brings a function to the loop's thread; it must outlive the store, or drop what it is given. Creates
-// the directory where there is none. Before a byte is served, a child process walks the whole file: damage
-// that would crash a reader ends the child and is told.
+// Opens the store, and creates the directory if it doesn't exist. `post` runs a function on the loop's
+// thread; it must outlive the store, or drop the functions that it is given. A child process first reads the
+// whole file, so that damage that crashes a reader ends only the child and is reported.
 OpenResult open_lmdb(const LmdbOptions& options, std::function<void(std::function<void()>)> post);
 
 // For tools: reads a directory that another process may be using.
 struct ScanResult {
   std::size_t records = 0, bytes = 0, file_bytes = 0;
-  std::string why;  // the first thing that is wrong; empty: nothing
+  std::string why;  // the first fault found; empty: none
 };
 // `options`: its directory, what it holds, and the check.
 ScanResult scan(const LmdbOptions& options,
                 const std::function<void(std::string_view key, std::string_view value)>& each);
-// A compact copy into another, new directory; safe while it is in use. A reason if it fails.
+// Writes a compacted copy to a new directory; safe while the store is in use. Returns the reason on failure.
 std::string copy_compacted(const LmdbOptions& from, const std::string& to);
 
 }  // namespace laureltide::store
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,6 +1,6 @@
-// Where what must outlive the process is kept: an embedded store behind a seam, so that a test orders every
-// delay, loss and fault. All calls come on the loop's thread and return at once; what they lead to comes back
-// on it.
+// Interface of the embedded key-value store for data that must survive a restart of the process. Tests use an
+// implementation in memory to control every delay, loss and fault. All calls are made on the event loop's
+// thread and don't block; events are delivered on the same thread.
 #pragma once
 
 #include <functional>
@@ -18,10 +18,10 @@
 class StoreEvents {
  public:
   virtual ~StoreEvents() = default;
-  // The store cannot write; what it was given waits and is tried again, unless `permanent`.
+  // A write failed. Pending operations are kept and retried, unless the failure is `permanent`.
   virtual void on_write_failed(const std::string& why, bool permanent) = 0;
-  virtual void on_write_recovered() = 0;  // all that waited is written
-  // So many more commits, in the order in which they were asked for, are on disk.
+  virtual void on_write_recovered() = 0;  // all pending operations were written
+  // The next `commits` commits, in the order in which they were requested, are on disk.
   virtual void on_durable(std::size_t commits) = 0;
 };
 
@@ -32,17 +32,17 @@
   // The bytes are copied.
   virtual void put(std::string_view key, std::string_view value) = 0;
   virtual void erase(std::string_view key) = 0;
-  // on_durable counts it once all that was put and erased before is on disk; never from within the call, and
-  // not at all when the process ends first.
+  // Requests a commit. on_durable counts it once all earlier puts and erasures are on disk: never from within
+  // this call, and not at all if the process ends first.
   virtual void commit() = 0;
-  // About as many as load() gives.
+  // The approximate number of entries that load() visits.
   virtual std::size_t entries() const = 0;
   // Everything the store held when it was opened.
   virtual void load(const std::function<void(std::string_view key, std::string_view value)>& each) = 0;
 };
 
-// A store in memory for tests and the simulated host. `Disk` outlives the store as a disk outlives a process:
-// what was not committed is lost with the store.
+// A store in memory for tests and the simulated host. The MemoryDisk outlives the store as a disk outlives a
+// process: operations that were not committed are lost with the store.
 struct MemoryDisk {
   std::map<std::string, std::string> data;
   Duration least_delay = std::chrono::microseconds(200), most_delay = std::chrono::milliseconds(2);
