--- a/src/base/io.h
+++ b/src/base/io.h
@@ -1,8 +1,8 @@
-// The seam between everything that decides or speaks a protocol and the machine it runs on.
+// Interfaces to the machine, for the code that makes decisions or implements protocols.
 //
-// Controller, connection machines and stand-ins see a clock, timers, randomness and byte streams only through
-// these interfaces. `src/net` implements them on libevent; `src/sim` in virtual time, where a test can order
-// every interleaving and fault. All calls come on one thread, the host's; nothing here blocks.
+// Controller, protocol state machines and stand-ins use clocks, timers, randomness and byte streams only
+// through these interfaces. `src/net` implements them on libevent; `src/sim` in virtual time, where a test
+// controls every interleaving and fault. All calls are made on the host's thread; nothing here blocks.
 #pragma once
 
 #include <cstddef>
@@ -29,24 +29,24 @@
 std::optional<Address> parse_address(std::string_view text);
 
 enum class CloseReason {
-  kNeverOpened,  // refused, unreachable or not made in time: no byte can have arrived
-  kByPeer,       // the peer ended it in order
-  kBroken,       // reset, or the host gave up on it
+  kNeverOpened,  // refused, unreachable or timed out: the peer can't have received any byte
+  kByPeer,       // the peer closed it normally
+  kBroken,       // reset by the peer, or aborted by the host
 };
 
-// A byte stream. Owned by whoever drives the protocol on it: destroying it closes the connection at once and
-// ends all its events, also from within one of them.
+// A byte stream, owned by the protocol code that uses it. Destroying it closes the connection at once and
+// ends all its events; it may be destroyed from within one of them.
 class Connection {
  public:
   virtual ~Connection() = default;
-  // Queues the bytes. The host never drops part of them; what it holds unsent shows in unsent().
+  // Queues the bytes. The host never drops part of them; unsent() counts those not yet sent.
   virtual void write(std::string_view bytes) = 0;
   virtual std::size_t unsent() const = 0;
-  // Stops or resumes on_bytes. Stopped, the peer is held back by the transport's own window.
+  // Stops or resumes on_bytes. While stopped, the transport's flow control holds the peer back.
   virtual void read(bool enabled) = 0;
-  // Sends the unsent bytes and then the end of the stream (FIN), and lets the peer end its side: closed at
-  // once with bytes of the peer unread, the machine would send a reset, which destroys what was just written.
-  // What the peer still sends is thrown away. Bounded in time, bytes and number by the host. No event
+  // Sends the unsent bytes and the end of the stream (FIN), then waits until the peer closes its side:
+  // closing at once with unread input would send a reset, which can destroy the bytes just written. Further
+  // input is discarded. The host limits the time, the bytes and the number of such connections. No event
   // follows.
   virtual void finish() = 0;
 };
@@ -55,10 +55,10 @@
  public:
   virtual ~ConnectionEvents() = default;
   virtual void on_open() {}
-  // All input not consumed yet, in one piece. Returns how many bytes were consumed; the rest comes again,
-  // with what arrives behind it. An implementation must consume before `read_ahead` bytes are waiting.
+  // All unconsumed input, contiguous. Returns the number of bytes consumed; the rest is passed again together
+  // with later input. An implementation must consume before `read_ahead` bytes are waiting.
   virtual std::size_t on_bytes(std::string_view bytes) = 0;
-  // The unsent bytes fell under the host's low mark after write() had gone over it.
+  // The unsent bytes fell below the host's low watermark after write() had exceeded it.
   virtual void on_drained() {}
   virtual void on_closed(CloseReason why) = 0;  // the last event
 };
@@ -72,10 +72,10 @@
 
 class Listener {
  public:
-  // Stops listening; connections handed over already stay. What the machine has accepted and nobody took in
-  // yet is reset, with any request on it: take_backlog() first where that matters.
+  // Stops listening; connections already handed over stay open. Connections still in the kernel's backlog are
+  // reset, with any request on them: call take_backlog() first where that matters.
   virtual ~Listener() = default;
-  // Hands over, within the call, what the machine has accepted up to now.
+  // Hands over, within this call, the connections that the kernel has accepted up to now.
   virtual void take_backlog() = 0;
   virtual Address address() const = 0;
 };
@@ -92,22 +92,22 @@
 
   virtual ~Host() = default;
   virtual Time now() const = 0;  // steady
-  // Wall clock, for what other machines tell and for logs. May jump; no span is ever taken from it.
+  // Wall clock, for times exchanged with other machines and for logs. May jump: never used for durations.
   virtual std::int64_t unix_ms() const = 0;
   virtual std::uint64_t random() = 0;
   virtual std::unique_ptr<Timer> timer(std::function<void()> fired) = 0;
   // `events` must live as long as the connection. Failure comes as on_closed, never from within the call.
   virtual std::unique_ptr<Connection> connect(const Address& to, const StreamOptions& options,
                                               ConnectionEvents& events) = 0;
-  // Nothing if the address cannot be listened on. Port 0 takes a free one.
+  // Returns null if the address can't be listened on. Port 0 selects a free port.
   virtual std::unique_ptr<Listener> listen(const Address& at, const StreamOptions& options,
                                            Accept accept) = 0;
 
   double random_unit() { return static_cast<double>(random() >> 11) * 0x1.0p-53; }
 };
 
-// What is done later on the loop, after the current event: owners of connections put their dead ones here
-// instead of destroying an object that is still on the call stack.
+// Destroys objects on the loop after the current event. Owners of connections pass closed ones here instead
+// of destroying an object whose member function is still on the call stack.
 template <class T>
 class DeferredDeleter {
  public:
--- a/src/ledger/call_ledger.cpp
+++ b/src/ledger/call_ledger.cpp
@@ -65,7 +65,8 @@
     e.usage = last_usage;
     ++e.usage->records;
     weigh(it->first, e);
-    // What nobody brings again waits for this gateway; the rest for its message or client, and not for ever.
+    // An owed call waits for this gateway without a limit; any other waits for its message or client, and
+    // expires.
     const bool waits = e.record.owed && !e.record.delivered;
     const std::int64_t until =
         e.record.keep_until_ms > 0 ? e.record.keep_until_ms : std::max(e.record.taken_ms, now_ms()) + keep;
@@ -125,8 +126,8 @@
   store_.put(key, scratch_);
 }
 
-// What nobody waits for is written a moment later, if it still matters then: an answer whose message is
-// acknowledged meanwhile needs no record.
+// Delays a write that no commit waits for, and skips it if the record is removed in the meantime: an answer
+// whose message is acknowledged by then needs no record.
 void CallLedger::write_behind(const std::string& key, Entry& e) {
   weigh(key, e);
   if (std::exchange(e.behind, true)) return;
@@ -191,7 +192,7 @@
 
 std::size_t CallLedger::add_attempt(const std::string& key, std::uint32_t worker, Done done) {
   Entry* e = entry(key);
-  if (!e) {  // nothing is known of it, so nothing holds it back
+  if (!e) {  // no record to update: the attempt waits for earlier writes only
     commit(std::move(done));
     return 0;
   }
@@ -228,7 +229,7 @@
   }
   write(key, *e);
   crash_point("answer-queued");
-  if (!writable()) return done();  // a disk that does not write must not make answers late
+  if (!writable()) return done();  // failing writes must not delay answers
   commit(std::move(done), "answer-durable");
   waiting_.back().impatient = true;
 }
@@ -282,13 +283,13 @@
   std::size_t turn = 0;
   sweep_->start(kSweepEvery);
   while (!expiries_.empty() && expiries_.begin()->first <= now) {
-    // Many that expire at once go in turns, between which calls go on.
+    // Limits the work of one turn, so that many expiries at once don't block calls.
     if (++turn > kSweptAtOnce) return sweep_->start(kSweepPause);
     const auto [at, key] = *expiries_.begin();
     expiries_.erase(expiries_.begin());
     const auto it = entries_.find(key);
     if (it == entries_.end() || it->second.expires_ms != at) continue;
-    // Its message may still come: from here on the ledger no longer knows all that ran of its queue.
+    // The message may still be redelivered: the ledger no longer covers its queue completely.
     const std::string front = front_of(key);
     if (const auto t = tenures_.find(front); t != tenures_.end() && t->second) {
       t->second = false;
@@ -336,7 +337,7 @@
 void CallLedger::on_write_failed(const std::string& why, bool permanent) {
   const bool news = trouble_.empty();
   trouble_ = why + (permanent ? "; the gateway must be restarted" : "");
-  // Answers that wait for the disk would come too late: they leave, and a crash now may give them again.
+  // Give waiting answers now, because they would be late; after a crash they may be given a second time.
   std::vector<Done> late;
   for (Waiting& w : waiting_)
     if (std::exchange(w.impatient, false)) late.push_back(std::exchange(w.done, nullptr)), w.then = nullptr;
--- a/src/ledger/call_ledger.h
+++ b/src/ledger/call_ledger.h
@@ -1,13 +1,13 @@
-// The ledger's state: every record that may still be needed, in memory, with its image in a Store.
+// The write-ahead ledger of calls: every record that may still be needed, in memory and in a Store.
 //
-// What must be on disk before something is done (an attempt's bytes leave, a message is acknowledged early,
-// an answer that may be given twice) waits for a commit; the rest is written behind. docs/ledger.md tells
-// which. The book decides nothing about a call in progress; what a record means is ruled in
-// ledger/recovery.h.
+// Steps that need a durable record first (sending an attempt, acknowledging a message early, giving an answer
+// that may be given twice) wait for a commit; other changes are written shortly afterwards. docs/ledger.md
+// lists them. The ledger decides nothing about a call in progress; ledger/recovery.h decides what a record
+// means.
 //
-// One thread, the host's. Bounds: `most_records` and `most_bytes`, over which full() tells the fronts to take
-// nothing more that needs a record. Times are wall-clock ms, counted on from the start by the steady clock,
-// so that a clock that jumps neither forgets nor prolongs anything within a life.
+// Runs on the host's thread only. Above `most_records` or `most_bytes`, full() tells the fronts to accept no
+// more calls that need a record. Times are wall-clock ms, read once at the start and advanced by the steady
+// clock, so that a jump of the wall clock neither expires nor prolongs a record while the process runs.
 #pragma once
 
 #include <deque>
@@ -25,8 +25,7 @@
 // What is kept of a record after its answer was delivered.
 enum class AfterDelivery {
   kDropRecord,         // nobody can ask for it again: the record is removed
-  kKeepWithoutAnswer,  // its message may come once more, to be acknowledged: that is remembered, without the
-                       // answer
+  kKeepWithoutAnswer,  // the message may be redelivered, only to be acknowledged: kept without the answer
   kKeepAnswer,         // a client may ask again and gets the same answer
 };
 
--- a/src/ledger/record.h
+++ b/src/ledger/record.h
@@ -1,8 +1,7 @@
 // What the ledger keeps of a call, and its bytes. No I/O.
 //
-// A record is written for what its call may still need after a crash: that it was taken, each attempt before
-// its bytes leave, what attempts are proven never to have run, the final answer, and whether the caller has
-// it.
+// A record holds what the call needs after a crash: that it was accepted, each attempt (recorded before it is
+// sent), which attempts provably never ran, the final answer, and whether the caller has received it.
 #pragma once
 
 #include <cstdint>
@@ -13,12 +12,12 @@
 
 namespace laureltide::ledger {
 
-// Of an attempt. kInFlight is what a crash leaves behind, and means the same as kMayHaveRun.
+// State of an attempt. After a crash, kInFlight is handled like kMayHaveRun.
 enum class AttemptState : std::uint8_t { kInFlight = 0, kMayHaveRun = 1, kNeverRan = 2 };
 
 struct Attempt {
   std::uint32_t worker = 0;
-  std::int64_t sent_ms = 0;  // wall clock, as are all times here: they must mean something to the next life
+  std::int64_t sent_ms = 0;  // wall clock, like all times here, so that a later process can use it
   AttemptState state = AttemptState::kInFlight;
   bool operator==(const Attempt&) const = default;
 };
@@ -31,7 +30,7 @@
   bool operator==(const Answer&) const = default;
 };
 
-// Where an answer goes when no message of the broker's waits for it: an AMQP queue and its correlation id.
+// Destination of an answer whose message was acknowledged early: an AMQP queue and a correlation id.
 struct ReplyTo {
   std::string to, correlation;
   bool operator==(const ReplyTo&) const = default;
@@ -39,42 +38,41 @@
 
 struct Record {
   std::string function, tenant, key;
-  std::string digest;  // of what was asked for: the same name with another digest is another request
+  std::string digest;  // of the call's content: the same name with another digest is another call
   std::int64_t taken_ms = 0, give_up_ms = 0;
-  bool owed = false;  // nobody will bring this call again: this gateway alone can answer it
-  std::string body;   // of an owed call: what is needed to run it
+  bool owed = false;  // acknowledged before its answer: only this gateway can still answer it
+  std::string body;   // of an owed call: what is needed to run it again
   std::vector<ReplyTo> replies;
-  std::string callback;  // HTTP: where the answer is posted
+  std::string callback;  // HTTP: the URL to which the answer is posted
   std::vector<Attempt> attempts;
   std::optional<Answer> answer;
   bool delivered = false;
-  std::int64_t keep_until_ms = 0;  // once answered: how long the answer is kept; 0: as the settings say
+  std::int64_t keep_until_ms = 0;  // once answered: when the record expires; 0: as configured
   bool operator==(const Record&) const = default;
 
   // The first attempt that may have run.
   const Attempt* may_have_run() const;
-  std::size_t size() const;  // bytes, about
+  std::size_t size() const;  // approximate size in bytes
 };
 
-// A record's bytes begin with the version of their layout and end with a checksum of all before it. Later
-// minor versions may add fields at the end, which are passed over.
+// A serialized record begins with its layout version and ends with a checksum of all preceding bytes. Later
+// minor versions may append fields, which are ignored.
 constexpr std::uint8_t kRecordLayout = 1;
 std::string write_record(const Record& record);
-void write_record(std::string& out, const Record& record);  // in place of what `out` held
-// Nothing, with `why`, on bytes that are damaged or of a later layout.
-// Whether the bytes are whole and of a layout that can be read, by their checksum alone: cheaper than reading
-// them.
+void write_record(std::string& out, const Record& record);  // replaces the contents of `out`
+// Checks the layout version and the checksum only, which is cheaper than parsing.
 bool check_record(std::string_view bytes, std::string& why);
+// Returns nothing, and sets `why`, if the bytes are damaged or of a newer layout.
 std::optional<Record> parse_record(std::string_view bytes, std::string& why);
 
-// "front / call" as one key, and back. A front's name holds no zero byte.
+// Joins the names of a front and a call to a key, and splits it. A front's name contains no zero byte.
 std::string key_of(std::string_view front, std::string_view name);
 std::pair<std::string, std::string> split_key(std::string_view key);
 
-// A digest of the parts, which may hold any bytes: 128 bits of XXH3 over their lengths and bytes.
+// 128-bit XXH3 digest over the lengths and bytes of the parts, which may contain any bytes.
 std::string digest_of(std::initializer_list<std::string_view> parts);
 
-// The ledger's check of an entry of its store (store::Check).
+// Validates an entry of the ledger's store; see store::Check.
 std::string check_entry(std::string_view key, std::string_view value);
 
 }  // namespace laureltide::ledger
--- a/src/store/lmdb.cpp
+++ b/src/store/lmdb.cpp
@@ -28,9 +28,8 @@
 
 constexpr std::size_t kLongestKey = 500;  // LMDB takes 511
 constexpr Duration kTryAgain = std::chrono::seconds(1);
-constexpr Duration kUnawaited =
-    std::chrono::milliseconds(20);    // a word that no commit waits for is written so soon
-constexpr std::size_t kCompany = 32;  // commits that need not wait for more company
+constexpr Duration kUnawaited = std::chrono::milliseconds(20);  // delay of writes that no commit waits for
+constexpr std::size_t kCompany = 32;  // commits that are written without waiting for more
 
 // Long names keep their beginning, for order, and a digest of the whole.
 std::string stored_key(std::string_view key) {
@@ -56,7 +55,7 @@
   env.reset(raw);
   if (map_bytes > 0) mdb_env_set_mapsize(raw, map_bytes);
   if (const int error = mdb_env_open(raw, directory.c_str(), flags, 0640)) return text_of(error);
-  // A file that was cut off would end a reader with SIGBUS: every page in use must be there.
+  // Reading a truncated file would raise SIGBUS, so every page in use must be present.
   MDB_envinfo info{};
   MDB_stat stat{};
   struct stat file {};
@@ -134,7 +133,7 @@
   return why.empty() ? bad : why;
 }
 
-// In a child process, whose end tells: a damaged page may crash whoever reads it.
+// Scans in a child process, because reading a damaged page may crash the reader.
 std::string walk_in_child(const LmdbOptions& options) {
   int pipes[2];
   if (pipe(pipes) != 0) return "no pipe";
@@ -239,7 +238,7 @@
     }
   }
 
-  // Tries until the batch is on disk; false if that can never be.
+  // Retries until the batch is on disk; returns false after a permanent failure or a stop.
   bool keep_at(Batch& batch, const std::stop_token& stop) {
     bool troubled = false;
     while (const int error = write(batch)) {
@@ -249,7 +248,7 @@
       if (permanent || stop.stop_requested()) return false;
       std::unique_lock lock(mutex_);
       woken_.wait_for(lock, stop, kTryAgain, [] { return false; });
-      // What was given meanwhile goes with it: an erasure may be just what makes room.
+      // Include operations that arrived in the meantime: an erasure may free the space needed.
       for (const Batch& more : given_) batch.words += more.words, batch.commits += more.commits;
       given_.clear();
       given_.emplace_back();
@@ -260,7 +259,7 @@
   }
 
   int write(const Batch& batch) {
-    // The last word on a key counts; what came and went between two syncs is never written.
+    // Only the last operation on each key is written.
     last_.clear();
     for (std::size_t at = 0; at < batch.words.size();) {
       Reader r(std::string_view(batch.words).substr(at));
@@ -316,7 +315,7 @@
   std::error_code error;
   fs::create_directories(options.directory, error);
   if (error) return {nullptr, options.directory + " cannot be made: " + error.message()};
-  // One writer: two gateways on one ledger would each take the other's calls for its own of before a crash.
+  // One writer: each of two gateways would take the other's calls for its own from before a crash.
   const int lock = ::open((options.directory + "/owner").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0640);
   if (lock < 0) return {nullptr, options.directory + " cannot be written: " + std::strerror(errno)};
   auto fail = [&](const std::string& why) {
