--- a/src/controller/peers.h
+++ b/src/controller/peers.h
@@ -1,5 +1,6 @@
-// Short messages between controllers: one stream to each peer, opened at need. A message is a u32 length of
-// what follows, a u32 number of the sender, and the bytes. Lost messages are lost: the module expects that.
+// Short messages between controllers: one stream to each peer, opened on demand. A message is a u32 length of
+// the rest, the u32 number of the sender, and the payload. Delivery is best effort; the module tolerates
+// loss.
 #pragma once
 
 #include <functional>
@@ -15,26 +16,27 @@
 
 class Peers {
  public:
-  using Heard = std::function<void(std::uint32_t from, std::span<const std::byte> bytes)>;
-  Peers(io::Host& host, const config::Settings& settings, Heard heard);
+  using OnMessage = std::function<void(std::uint32_t from, std::span<const std::byte> bytes)>;
+  Peers(io::Host& host, const config::Settings& settings, OnMessage on_message);
   ~Peers();
-  bool listening() const { return !wanted_ || listener_ != nullptr; }
-  void tell(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes);
+  // False if a listening address is configured and could not be bound.
+  bool listening() const { return !listen_configured_ || listener_ != nullptr; }
+  // Sends to one peer, or to all if `peer` is absent.
+  void send(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes);
 
  private:
-  static constexpr std::size_t kMost = 256;  // bytes of a message
-  static constexpr std::size_t kMostUnsent = 64U
-                                             << 10;  // to a peer that does not read: further ones are lost
-  static constexpr std::size_t kMostInbound = 4096;
+  static constexpr std::size_t kMaxMessageBytes = 256;       // payload of one message
+  static constexpr std::size_t kMaxUnsentBytes = 64U << 10;  // for each peer; further messages are dropped
+  static constexpr std::size_t kMaxInboundConnections = 4096;
   class Inbound;
   class Outbound;
 
-  std::uint32_t me_;
-  Heard heard_;
-  bool wanted_ = false;
-  std::map<std::uint32_t, std::unique_ptr<Outbound>> out_;
-  std::map<Inbound*, std::unique_ptr<Inbound>> in_;
-  io::DeferredDeleter<Inbound> dead_;
+  std::uint32_t own_number_;
+  OnMessage on_message_;
+  bool listen_configured_ = false;
+  std::map<std::uint32_t, std::unique_ptr<Outbound>> outbound_;
+  std::map<Inbound*, std::unique_ptr<Inbound>> inbound_;
+  io::DeferredDeleter<Inbound> closed_;
   std::unique_ptr<io::Listener> listener_;
 };
 
--- a/src/standin/worker.cpp
+++ b/src/standin/worker.cpp
@@ -39,7 +39,7 @@
   if (options_.agent) {
     agent_ = std::make_shared<layers::AgentClient>(host_, *options_.agent, options_.name,
                                                    std::to_string(started) + "-" + std::to_string(life_));
-    agent_->follow([this](const std::vector<layers::ReleaseNews>& all) { on_releases(all); });
+    agent_->watch_releases([this](const std::vector<layers::ReleaseStatus>& all) { on_releases(all); });
   }
   listener_ =
       host_.listen(at, stream, [this, started](std::unique_ptr<io::Connection> c) -> io::ConnectionEvents* {
@@ -64,7 +64,7 @@
 void Worker::crash() {
   if (!listener_) return;
   unsaid_.clear();
-  if (silent_) set_silent(false);
+  if (silent_) set_unresponsive(false);
   tape_.note(host_.now(), "crashed", {{"worker", options_.id}});
   ++life_;
   listener_.reset();
@@ -78,7 +78,7 @@
   }
 }
 
-void Worker::set_silent(bool on) {
+void Worker::set_unresponsive(bool on) {
   if (silent_ == on) return;
   tape_.note(host_.now(), "silent", {{"worker", options_.id}, {"on", on}});
   silent_ = on;
@@ -88,7 +88,7 @@
     if (sessions_.contains(session)) session->send(message);
 }
 
-void Worker::void_copies() {
+void Worker::discard_instances() {
   tape_.note(host_.now(), "flushed", {{"worker", options_.id}});
   for (auto& [name, pool] : pools_) {
     if (pool.running > 0)
@@ -317,7 +317,7 @@
 
 // ---- Copies ---------------------------------------------------------------------------------------------
 
-int Worker::copies(const std::string& function) const {
+int Worker::instances(const std::string& function) const {
   const auto it = pools_.find(function);
   return it == pools_.end() ? 0 : it->second.ready;
 }
@@ -420,8 +420,8 @@
 
 // A newer version is whole on the box: it is loaded beside the old one, which serves until it stands. What
 // runs goes on with what it began with.
-void Worker::on_releases(const std::vector<layers::ReleaseNews>& all) {
-  for (const layers::ReleaseNews& r : all) {
+void Worker::on_releases(const std::vector<layers::ReleaseStatus>& all) {
+  for (const layers::ReleaseStatus& r : all) {
     const auto it = pools_.find(r.function);
     if (!r.whole || it == pools_.end() || !it->second.version || it->second.renewing ||
         it->second.version->release >= r.release)
@@ -531,10 +531,10 @@
     return std::pair(static_cast<std::uint8_t>(f), static_cast<float>(v));
   };
   worker::Report r;
-  r.values = {field(worker::ReportField::kInHand, static_cast<double>(jobs_.size())),
+  r.values = {field(worker::ReportField::kInProgress, static_cast<double>(jobs_.size())),
               field(worker::ReportField::kWaiting, static_cast<double>(waiting)),
               field(worker::ReportField::kBusyCores, static_cast<double>(busy()) / cores_),
-              field(worker::ReportField::kMemoryAtWork, memory_used() / options_.memory_mb),
+              field(worker::ReportField::kMemoryInUse, memory_used() / options_.memory_mb),
               field(worker::ReportField::kLoads, loads_ + static_cast<double>(load_line_.size()))};
   return r;
 }
