--- a/src/controller/intake.cpp
+++ b/src/controller/intake.cpp
@@ -91,9 +91,8 @@
       std::erase_if(record.deliveries, [&](const Delivery& d) { return d.epoch == epoch && d.tag == tag; });
   if (!broker_confirmed) record.unconfirmed_acknowledgements += acknowledged;
   if (options_.book && acknowledged > 0 && record.deliveries.empty())
-    options_.book->delivered(
-        key(name),
-                             broker_confirmed ? ledger::AfterDelivery::kDropRecord : ledger::AfterDelivery::kKeepWithoutAnswer);
+    options_.book->delivered(key(name), broker_confirmed ? ledger::AfterDelivery::kDropRecord
+                                                         : ledger::AfterDelivery::kKeepWithoutAnswer);
   if (record.deliveries.empty() && record.unconfirmed_acknowledgements == 0) records_.erase(it);
 }
 
--- a/src/controller/intake.h
+++ b/src/controller/intake.h
@@ -14,7 +14,7 @@
 //   confirmed            |                    |            |
 //   unknown              | any                | any        | as the ledger rules on its record from before
 //                        |                    |            | a restart (ledger/recovery.h); without a record:
-//                        not |                    |            | run if not redelivered or safe to repeat, else
+//                        |                    |            | run if not redelivered or safe to repeat, else
 //                        |                    |            | fail
 //
 // A delivery belongs to an epoch: one opening of the channel that it arrived on. When an epoch ends, the
@@ -48,7 +48,7 @@
   struct Options {
     std::size_t max_names = 100'000;
     Duration answer_ttl = std::chrono::seconds(120);
-    std::size_t max_joined = 16;        // messages that wait for one call; further ones are refused
+    std::size_t max_joined = 16;         // messages that wait for one call; further ones are refused
     ledger::CallLedger* book = nullptr;  // null: nothing is known from before a restart
     std::string front;                   // this queue's name in the ledger
   };
--- a/src/controller/trigger.cpp
+++ b/src/controller/trigger.cpp
@@ -473,7 +473,8 @@
   for (const ledger::ReplyTo& to : record->replies)
     if (!to.to.empty()) replies.push_back({name, {0, 0, to.to, to.correlation}, answer, true});
   if (replies.empty())  // no reply is wanted; the message may still be redelivered
-    return book_->delivered(queue.intake.key(name), ledger::AfterDelivery::kKeepWithoutAnswer, kLostAcknowledgementTtlMs);
+    return book_->delivered(queue.intake.key(name), ledger::AfterDelivery::kKeepWithoutAnswer,
+                            kLostAcknowledgementTtlMs);
   queue.unconfirmed_replies[name] += replies.size();
   for (Reply& reply : replies) enqueue_reply(queue, std::move(reply));
 }
@@ -663,7 +664,7 @@
     return book_->delivered(
         queue.intake.key(reply.name),
         certain ? ledger::AfterDelivery::kDropRecord : ledger::AfterDelivery::kKeepWithoutAnswer,
-                            kLostAcknowledgementTtlMs);
+        kLostAcknowledgementTtlMs);
   }
   if (queue.unacknowledged > 0) --queue.unacknowledged;
   if (!reply.name.empty())
--- a/src/members/list_subscriber.cpp
+++ b/src/members/list_subscriber.cpp
@@ -50,7 +50,7 @@
 
 void ListSubscriber::on_closed(io::CloseReason reason) {
   disconnect(reason == io::CloseReason::kNeverOpened ? "cannot connect to the list service"
-                                            : "list service closed the connection");
+                                                     : "list service closed the connection");
 }
 
 void ListSubscriber::disconnect(const std::string& reason) {
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -125,9 +125,8 @@
       link_.learn_idle_limit(since_activity);
     else if (why == io::CloseReason::kBroken && since_activity < link_.options_.crash_window)
       link_.learn_idle_limit(idle_time);
-    link_.on_connection_lost(
-        *this, why == io::CloseReason::kByPeer ? "the invoker closed the connection"
-                                                       : "the connection broke");
+    link_.on_connection_lost(*this, why == io::CloseReason::kByPeer ? "the invoker closed the connection"
+                                                                    : "the connection broke");
   }
 
  private:
