--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -16,62 +16,63 @@
 namespace laureltide::config {
 namespace {
 
-constexpr std::size_t kMostFunctions = 200'000;
-constexpr double kMostMs = 3'600'000;  // an hour: longer would outlive the wrap of request ids at full load
+constexpr std::size_t kMaxFunctions = 200'000;
+constexpr double kMaxMilliseconds =
+    3'600'000;  // one hour: a call must end before request ids wrap around at full load
 
-// A table of the file, with the problems found in it. Every key must be asked for; the rest is unknown.
+// Reads one table of the file and collects its problems. Keys that were never read count as unknown.
 class Section {
  public:
   Section(const toml::table* table, std::string path, const std::string& file, std::vector<Problem>& problems)
       : table_(table), path_(std::move(path)), file_(file), problems_(problems) {}
   Section(const Section&) = delete;
 
-  // Names every key that nobody asked for.
-  void done() {
+  // Reports every key that was never read.
+  void report_unknown_keys() {
     if (!table_) return;
     for (const auto& [key, node] : *table_)
       if (!known_.contains(std::string(key.str())))
         problem(node.source(), std::string(key.str()), "unknown key; expected one of " + known_text());
   }
 
-  double number(const char* key, double otherwise, double least, double most) {
+  double number(const char* key, double fallback, double min_value, double max_value) {
     const toml::node* node = get(key);
-    if (!node) return otherwise;
+    if (!node) return fallback;
     const auto value = node->value_exact<double>();
     const auto whole = node->value_exact<std::int64_t>();
-    if ((value || whole) && in(value ? *value : static_cast<double>(*whole), least, most))
+    if ((value || whole) && in(value ? *value : static_cast<double>(*whole), min_value, max_value))
       return value ? *value : static_cast<double>(*whole);
-    expected(*node, key, "a number from " + show(least) + " to " + show(most));
-    return otherwise;
+    expected(*node, key, "a number from " + show(min_value) + " to " + show(max_value));
+    return fallback;
   }
   template <class T>
-  T whole(const char* key, T otherwise, double least, double most) {
+  T whole(const char* key, T fallback, double min_value, double max_value) {
     const toml::node* node = get(key);
-    if (!node) return otherwise;
+    if (!node) return fallback;
     const auto value = node->value_exact<std::int64_t>();
-    if (value && in(static_cast<double>(*value), least, most)) return static_cast<T>(*value);
-    expected(*node, key, "a whole number from " + show(least) + " to " + show(most));
-    return otherwise;
+    if (value && in(static_cast<double>(*value), min_value, max_value)) return static_cast<T>(*value);
+    expected(*node, key, "a whole number from " + show(min_value) + " to " + show(max_value));
+    return fallback;
   }
-  Duration ms(const char* key, Duration otherwise, double least = 0) {
-    const double given = std::chrono::duration<double, std::milli>(otherwise).count();
+  Duration ms(const char* key, Duration fallback, double min_value = 0) {
+    const double given = std::chrono::duration<double, std::milli>(fallback).count();
     return std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double, std::milli>(number(key, given, least, kMostMs)));
+        std::chrono::duration<double, std::milli>(number(key, given, min_value, kMaxMilliseconds)));
   }
-  bool flag(const char* key, bool otherwise) {
+  bool flag(const char* key, bool fallback) {
     const toml::node* node = get(key);
-    if (!node) return otherwise;
+    if (!node) return fallback;
     if (const auto value = node->value_exact<bool>()) return *value;
     expected(*node, key, "true or false");
-    return otherwise;
+    return fallback;
   }
-  std::string text(const char* key, std::string otherwise, std::size_t most = 255) {
+  std::string text(const char* key, std::string fallback, std::size_t max_value = 255) {
     const toml::node* node = get(key);
-    if (!node) return otherwise;
+    if (!node) return fallback;
     const auto value = node->value_exact<std::string>();
-    if (value && value->size() <= most) return *value;
-    expected(*node, key, "a text of at most " + std::to_string(most) + " bytes");
-    return otherwise;
+    if (value && value->size() <= max_value) return *value;
+    expected(*node, key, "a text of at most " + std::to_string(max_value) + " bytes");
+    return fallback;
   }
   std::string required_text(const char* key) {
     const std::string value = text(key, "");
@@ -80,9 +81,9 @@
     return value;
   }
   template <class T>
-  T choice(const char* key, T otherwise, std::initializer_list<std::pair<const char*, T>> choices) {
+  T choice(const char* key, T fallback, std::initializer_list<std::pair<const char*, T>> choices) {
     const toml::node* node = get(key);
-    if (!node) return otherwise;
+    if (!node) return fallback;
     const auto value = node->value_exact<std::string>();
     std::string all;
     for (const auto& [name, meaning] : choices) {
@@ -90,7 +91,7 @@
       all += (all.empty() ? "\"" : ", \"") + std::string(name) + "\"";
     }
     expected(*node, key, "one of " + all);
-    return otherwise;
+    return fallback;
   }
   std::optional<io::Address> address(const char* key) {
     const toml::node* node = get(key);
@@ -121,7 +122,7 @@
     if (node && !node->as_table()) return expected(*node, key, "a table");
     Section inner(node ? node->as_table() : nullptr, path_ + key + ".", file_, problems_);
     read(inner);
-    inner.done();
+    inner.report_unknown_keys();
   }
   void sections(const char* key, auto&& read) {
     const toml::node* node = get(key);
@@ -137,16 +138,18 @@
       }
       Section inner(item.as_table(), path, file_, problems_);
       read(inner);
-      inner.done();
+      inner.report_unknown_keys();
     }
   }
-  void wrong(const char* key, const std::string& text) {
+  void report_error(const char* key, const std::string& text) {
     const toml::node* node = table_ ? table_->get(key) : nullptr;
     problem(node ? node->source() : table_ ? table_->source() : toml::source_region{}, key, text);
   }
 
  private:
-  static bool in(double v, double least, double most) { return std::isfinite(v) && v >= least && v <= most; }
+  static bool in(double v, double min_value, double max_value) {
+    return std::isfinite(v) && v >= min_value && v <= max_value;
+  }
   static std::string show(double v) {
     std::ostringstream out;
     out << v;
@@ -179,7 +182,7 @@
   std::set<std::string> known_;
 };
 
-std::size_t place(const std::vector<std::string>& names, const std::string& name) {
+std::size_t index_of(const std::vector<std::string>& names, const std::string& name) {
   return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
@@ -189,7 +192,7 @@
   out.module.replica_index = s.whole<std::uint32_t>("number", 0, 0, 65535);
   out.module.replicas = s.whole<std::uint32_t>("replicas", 1, 1, 65536);
   if (out.module.replica_index >= out.module.replicas)
-    s.wrong("number", "must be under replicas: numbers start at 0");
+    s.report_error("number", "must be under replicas: numbers start at 0");
   g.loopback_only = !s.flag("allow_other_networks", false);
   g.max_body_bytes = s.whole<std::uint64_t>("most_body_bytes", g.max_body_bytes, 1, 64 << 20);
   g.answer_reserve = s.ms("answer_reserve_ms", g.answer_reserve);
@@ -200,12 +203,13 @@
 void read_class(Section& s, Settings& out) {
   RequestClass c;
   const std::string name = s.required_text("name");
-  if (place(out.class_names, name) < out.class_names.size()) s.wrong("name", "is given twice: " + name);
+  if (index_of(out.class_names, name) < out.class_names.size())
+    s.report_error("name", "is given twice: " + name);
   c.worth = s.number("worth", 1, 0, 1e6);
   c.late_worth = s.number("late_worth", 0, 0, 1);
   c.target = s.ms("target_ms", std::chrono::seconds(1), 1);
   c.give_up = s.ms("give_up_ms", 3 * c.target, 1);
-  if (c.give_up < c.target) s.wrong("give_up_ms", "is under target_ms");
+  if (c.give_up < c.target) s.report_error("give_up_ms", "is under target_ms");
   c.semantics = s.choice(
       "effect", Semantics::kOnce,
       {{"repeatable", Semantics::kRepeatable}, {"keyed", Semantics::kKeyed}, {"once", Semantics::kOnce}});
@@ -214,9 +218,9 @@
                {{"all", RepeatGroup::kAll}, {"zone", RepeatGroup::kZone}, {"cell", RepeatGroup::kCell}});
   c.repeat_window = s.ms("repeat_window_ms", Duration(0));
   if (c.semantics == Semantics::kKeyed && c.repeat_window <= Duration(0))
-    s.wrong("repeat_window_ms", "is needed for effect = \"keyed\": how long workers remember a key");
+    s.report_error("repeat_window_ms", "is needed for effect = \"keyed\": how long workers remember a key");
   c.streamed = s.flag("streamed", false);
-  if (out.class_names.size() >= 255) return s.wrong("name", "more than 255 classes");
+  if (out.class_names.size() >= 255) return s.report_error("name", "more than 255 classes");
   out.class_names.push_back(name);
   out.module.classes.push_back(c);
 }
@@ -225,17 +229,17 @@
   Function f;
   f.name = s.required_text("name");
   const std::string c = s.required_text("class");
-  const std::size_t index = place(out.class_names, c);
-  if (!c.empty() && index >= out.class_names.size()) s.wrong("class", "no such class: " + c);
+  const std::size_t index = index_of(out.class_names, c);
+  if (!c.empty() && index >= out.class_names.size()) s.report_error("class", "no such class: " + c);
   f.request_class = static_cast<ClassIndex>(std::min<std::size_t>(index, 254));
   f.memory_mb = static_cast<float>(s.number("memory_mb", 128, 0, 1e7));
   f.lanes = static_cast<float>(s.number("lanes", 1, 1, 10'000));
   if (const Duration load = s.ms("load_ms", Duration(0)); load > Duration(0)) f.load_time = load;
   if (const Duration work = s.ms("work_ms", Duration(0)); work > Duration(0)) f.work_hint = work;
   f.id = function_id(f.name);
-  if (out.functions.size() >= kMostFunctions) return s.wrong("name", "more than 200000 functions");
+  if (out.functions.size() >= kMaxFunctions) return s.report_error("name", "more than 200000 functions");
   if (!out.function_index.emplace(f.name, out.functions.size()).second)
-    return s.wrong("name", "is given twice: " + f.name);
+    return s.report_error("name", "is given twice: " + f.name);
   out.functions.push_back(std::move(f));
 }
 
@@ -265,7 +269,8 @@
     const auto address = io::parse_address(text);
     if (address) i.callbacks.push_back(*address);
     if (!address)
-      s.wrong("callbacks", "expected numeric addresses and ports, such as \"127.0.0.1:9000\", found " + text);
+      s.report_error("callbacks",
+                     "expected numeric addresses and ports, such as \"127.0.0.1:9000\", found " + text);
   }
   i.callback_attempts = s.whole("callback_attempts", i.callback_attempts, 1, 20);
   i.max_connections = s.whole<std::size_t>("most_connections", i.max_connections, 1, 100'000);
@@ -279,7 +284,7 @@
   if (const auto at = out.tenant(tenant))
     k.tenant = *at;
   else if (!tenant.empty())
-    s.wrong("tenant", "no such tenant: " + tenant);
+    s.report_error("tenant", "no such tenant: " + tenant);
   const std::string hex = s.required_text("sha256");
   for (std::size_t i = 0; i + 1 < hex.size(); i += 2) {
     std::uint8_t byte = 0;
@@ -287,7 +292,7 @@
     if (error == std::errc() && end == hex.data() + i + 2) k.sha256.push_back(static_cast<char>(byte));
   }
   if (!hex.empty() && (hex.size() != 64 || k.sha256.size() != 32))
-    s.wrong("sha256", "expected 64 hex digits, as `laureltide key` prints them");
+    s.report_error("sha256", "expected 64 hex digits, as `laureltide key` prints them");
   out.keys.push_back(std::move(k));
 }
 
@@ -296,16 +301,16 @@
   b.name = s.text("name", "broker-" + std::to_string(out.brokers.size()));
   const auto address = s.address("address");
   if (address) b.address = *address;
-  if (!address) s.wrong("address", "is needed, such as \"127.0.0.1:5672\"");
+  if (!address) s.report_error("address", "is needed, such as \"127.0.0.1:5672\"");
   b.vhost = s.text("vhost", b.vhost);
   b.user = s.text("user", b.user);
   b.password = s.text("password", b.password);
   b.heartbeat_s = s.whole<std::uint16_t>("heartbeat_s", b.heartbeat_s, 0, 3600);
   b.frame_max = s.whole<std::uint32_t>("frame_max", b.frame_max, 4096, 8 << 20);
   b.queues = s.texts("queues");
-  if (b.queues.empty()) s.wrong("queues", "is needed: the queues whose messages are calls");
+  if (b.queues.empty()) s.report_error("queues", "is needed: the queues whose messages are calls");
   if (std::set<std::string>(b.queues.begin(), b.queues.end()).size() < b.queues.size())
-    s.wrong("queues", "names a queue twice");
+    s.report_error("queues", "names a queue twice");
   b.prefetch = s.whole<std::uint16_t>("prefetch", b.prefetch, 1, 65535);
   b.answers = s.choice("answers", b.answers,
                        {{"transaction", AnswerMode::kTransaction}, {"confirm", AnswerMode::kConfirm}});
@@ -313,11 +318,11 @@
                            {{"answer", AcknowledgeMode::kOnAnswer}, {"take", AcknowledgeMode::kOnTake}});
   b.sole_reader = s.flag("sole_reader", b.sole_reader);
   b.tenant = s.text("tenant", b.tenant);
-  if (!b.tenant.empty() && !out.tenant(b.tenant)) s.wrong("tenant", "no such tenant: " + b.tenant);
+  if (!b.tenant.empty() && !out.tenant(b.tenant)) s.report_error("tenant", "no such tenant: " + b.tenant);
   if (b.acknowledge == AcknowledgeMode::kOnTake)
-    b.answers = AnswerMode::kConfirm;  // nothing is left to bind it to
+    b.answers = AnswerMode::kConfirm;  // no acknowledgement is left to put into a transaction
   for (const Broker& other : out.brokers)
-    if (other.name == b.name) s.wrong("name", "is given twice: " + b.name);
+    if (other.name == b.name) s.report_error("name", "is given twice: " + b.name);
   out.brokers.push_back(std::move(b));
 }
 
@@ -385,49 +390,48 @@
     out.list.cache = s.text("cache", "", 4096);
     out.list.poll = s.ms("poll_ms", out.list.poll, 10);
     if (out.list.service.has_value() == !out.list.file.empty())
-      s.wrong("service", "exactly one of service and file tells where workers are");
+      s.report_error("service", "exactly one of service and file tells where workers are");
   });
   root.section("ledger", [&](Section& s) { read_ledger(s, out); });
   root.section("invoke", [&](Section& s) { read_invoke(s, out); });
   root.sections("key", [&](Section& s) { read_key(s, out); });
   if (out.invoke.listen && out.keys.empty())
-    root.wrong("key", "the invoke API needs at least one [[key]]: no key, no call");
+    root.report_error("key", "the invoke API needs at least one [[key]]: no key, no call");
   root.sections("broker", [&](Section& s) { read_broker(s, out); });
   for (const Broker& b : out.brokers)
     if (out.ledger.directory.empty() && (b.acknowledge == AcknowledgeMode::kOnTake || b.sole_reader))
-      root.wrong("broker",
-                 b.name + ": acknowledge = \"take\" and sole_reader need a ledger (ledger.directory)");
+      root.report_error("broker",
+                        b.name + ": acknowledge = \"take\" and sole_reader need a ledger (ledger.directory)");
   root.sections("peer", [&](Section& s) {
     const auto number = s.whole<std::uint32_t>("number", 0, 0, 65535);
     const auto address = s.address("address");
     const auto invoke = s.address("invoke");
-    if (!address) return s.wrong("address", "is needed, such as \"127.0.0.1:7300\"");
+    if (!address) return s.report_error("address", "is needed, such as \"127.0.0.1:7300\"");
     out.peers.push_back({number, *address, invoke});
   });
   m.bounds.peers = !out.peers.empty();
-  if (out.module.classes.empty()) root.wrong("class", "at least one [[class]] is needed");
-  if (out.functions.empty()) root.wrong("function", "at least one [[function]] is needed");
+  if (out.module.classes.empty()) root.report_error("class", "at least one [[class]] is needed");
+  if (out.functions.empty()) root.report_error("function", "at least one [[function]] is needed");
   std::size_t taken = 0;
   for (const Broker& b : out.brokers) taken += b.queues.size() * b.prefetch;
   if (taken > static_cast<std::size_t>(m.bounds.max_open))
-    root.wrong("broker", "the queues' prefetch adds up to " + std::to_string(taken) +
-                             ", over bounds.open_calls = " + std::to_string(m.bounds.max_open));
+    root.report_error("broker", "the queues' prefetch adds up to " + std::to_string(taken) +
+                                    ", over bounds.open_calls = " + std::to_string(m.bounds.max_open));
 }
 
 }  // namespace
 
-// toml++ 3.3 runs into undefined behaviour on some characters over ASCII in bare keys (found by fuzzing).
-// TOML allows none there, so they are refused before the library sees them; quoted texts and comments are
-// free.
-static std::optional<Problem> unquoted_beyond_ascii(std::string_view text, const std::string& file) {
+// toml++ 3.3 has undefined behaviour on some non-ASCII characters in bare keys (found by fuzzing). TOML does
+// not allow them there, so they are rejected before parsing; quoted strings and comments may contain them.
+static std::optional<Problem> find_unquoted_non_ascii(std::string_view text, const std::string& file) {
   std::uint32_t line = 1;
-  bool free = false;  // behind a quote or a comment sign of this line
+  bool in_quote_or_comment = false;  // after a quote or comment sign in this line
   for (const char c : text) {
     if (c == '\n') {
-      ++line, free = false;
+      ++line, in_quote_or_comment = false;
     } else if (c == '"' || c == '\'' || c == '#') {
-      free = true;
-    } else if (!free && static_cast<unsigned char>(c) >= 0x80) {
+      in_quote_or_comment = true;
+    } else if (!in_quote_or_comment && static_cast<unsigned char>(c) >= 0x80) {
       return Problem{file, line, "", "expected ASCII outside of quotes and comments"};
     }
   }
@@ -452,7 +456,7 @@
 
 SettingsResult parse(std::string_view text, const std::string& file) {
   SettingsResult checked;
-  if (const auto problem = unquoted_beyond_ascii(text, file)) {
+  if (const auto problem = find_unquoted_non_ascii(text, file)) {
     checked.problems.push_back(*problem);
     return checked;
   }
@@ -465,7 +469,7 @@
   Settings settings;
   Section root(&parsed.table(), "", file, checked.problems);
   read_all(root, settings);
-  root.done();
+  root.report_unknown_keys();
   std::set<std::uint64_t> ids;
   for (const Function& f : settings.functions)
     if (!ids.insert(static_cast<std::uint64_t>(f.id)).second)
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -15,7 +15,7 @@
 
 struct Function {
   std::string name;
-  FunctionId id{};  // from the name alone, so that all controllers of a fleet agree on it
+  FunctionId id{};  // derived from the name alone, so that all controllers agree
   ClassIndex request_class = 0;
   float memory_mb = 0;
   float lanes = 1;
@@ -23,13 +23,13 @@
 };
 
 enum class AnswerMode {
-  kTransaction,  // answer and acknowledgement in one transaction: the broker has both or neither
-  kConfirm,      // the acknowledgement follows the broker's confirm of the answer
+  kTransaction,  // answer and acknowledgement in one transaction: the broker gets both or neither
+  kConfirm,      // acknowledge after the broker has confirmed the answer
 };
 
 enum class AcknowledgeMode {
-  kOnAnswer,  // with the answer: a call that is held at a crash is the broker's to give again
-  kOnTake,    // once the ledger has it: from then on it is this gateway's alone, across crashes
+  kOnAnswer,  // with the answer; after a crash the broker redelivers open calls
+  kOnTake,    // once the ledger has stored the call; this gateway then owns it, even across crashes
 };
 
 struct Broker {
@@ -39,12 +39,13 @@
   std::uint16_t heartbeat_s = 10;
   std::uint32_t frame_max = 128U << 10;
   std::vector<std::string> queues;
-  std::uint16_t prefetch = 256;  // for each queue
+  std::uint16_t prefetch = 256;  // per queue
   AnswerMode answers = AnswerMode::kTransaction;
   AcknowledgeMode acknowledge = AcknowledgeMode::kOnAnswer;
-  // The operator's word that no other gateway ever reads these queues; the broker holds others off meanwhile.
+  // The operator guarantees that no other gateway ever reads these queues; the broker keeps others out
+  // meanwhile.
   bool sole_reader = false;
-  std::string tenant;  // of all its calls; empty: as each message says
+  std::string tenant;  // tenant of all calls of this broker; empty: taken from each message
   bool operator==(const Broker&) const = default;
 };
 
@@ -62,7 +63,7 @@
   Duration keep = std::chrono::hours(24);
   Duration group_commit_window = std::chrono::milliseconds(1);
   LedgerSync sync = LedgerSync::kGroup;
-  bool all_calls = false;  // also those that are safe to repeat
+  bool all_calls = false;  // record calls that are safe to repeat, too
   bool operator==(const Ledger&) const = default;
 };
 
@@ -71,14 +72,14 @@
 struct Peer {
   std::uint32_t number = 0;
   io::Address address;
-  std::optional<io::Address> invoke;  // where its invoke API is reached: calls that it holds are sent there
+  std::optional<io::Address> invoke;  // its invoke API, to which calls that it owns are forwarded
 };
 
 struct Invoke {
-  std::optional<io::Address> listen;                        // absent: no invoke API
-  Duration keep = std::chrono::hours(1);                    // answers of deferred and named calls
-  std::size_t max_deferred = 1000, max_deferred_mb = 64;  // of a tenant, open and answered
-  std::vector<io::Address> callbacks;                       // where answers may be posted; none: nowhere
+  std::optional<io::Address> listen;      // absent: the invoke API is off
+  Duration keep = std::chrono::hours(1);  // how long answers of deferred and named calls are kept
+  std::size_t max_deferred = 1000, max_deferred_mb = 64;  // per tenant, open and answered
+  std::vector<io::Address> callbacks;  // allowed addresses for callbacks; empty: callbacks are off
   int callback_attempts = 5;
   std::size_t max_connections = 1024;
   Duration header_timeout = std::chrono::seconds(10), body_timeout = std::chrono::seconds(30);
@@ -86,15 +87,16 @@
 
 struct Key {
   std::uint32_t tenant = 0;
-  std::string sha256;  // of the bearer token, 32 bytes
+  std::string sha256;  // digest of the bearer token, 32 bytes
 };
 
 struct Gateway {
   std::string name = "laureltide";
   bool loopback_only = true;
   std::uint64_t max_body_bytes = 8U << 20;
-  Duration answer_reserve = std::chrono::milliseconds(20);  // kept of a client's patience for the way back
-  Duration drain_timeout = std::chrono::seconds(30);         // after SIGTERM
+  Duration answer_reserve =
+      std::chrono::milliseconds(20);  // part of a call's timeout reserved for returning the answer
+  Duration drain_timeout = std::chrono::seconds(30);  // time limit for draining after SIGTERM
   std::optional<io::Address> peer_listen;
 };
 
@@ -123,20 +125,20 @@
 
 struct Problem {
   std::string file;
-  std::uint32_t line = 0;  // 0: of the file as a whole
+  std::uint32_t line = 0;  // 0: concerns the whole file
   std::string key;
   std::string text;
   std::string to_string() const;
 };
 
 struct SettingsResult {
-  std::optional<Settings> settings;  // absent if there is any problem
+  std::optional<Settings> settings;  // absent if there are problems
   std::vector<Problem> problems;     // all of them, in the order of the file
 };
 SettingsResult parse(std::string_view toml, const std::string& file);
 SettingsResult load(const std::string& file);
 
-// The keys that a running gateway takes over at SIGHUP; a change of any other is told, and needs a restart.
+// Returns the changed keys that a reload on SIGHUP cannot apply, so that they need a restart.
 std::vector<std::string> needs_restart(const Settings& from, const Settings& to);
 
 FunctionId function_id(std::string_view name);
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -74,7 +74,7 @@
  public:
   virtual ~CoreEvents() = default;
   virtual void on_call_finished(const CallSummary& ended) = 0;
-  virtual void on_log(const std::string& line) = 0;     // the module's words
+  virtual void on_log(const std::string& line) = 0;      // the module's words
   virtual void on_anomaly(const std::string& line) = 0;  // a worker that does what it should not
   virtual void on_send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) = 0;
 };
@@ -88,7 +88,8 @@
     std::uint32_t first_request_id = 1;  // ids wrap; a test starts close to the end
     ledger::Book* book = nullptr;        // outlives the core
     // Makes the end towards a worker; absent: the project's own protocol (worker::Link).
-    std::function<std::unique_ptr<worker::WorkerLink>(WorkerId, const io::Address&, worker::LinkEvents&)> port = {};
+    std::function<std::unique_ptr<worker::WorkerLink>(WorkerId, const io::Address&, worker::LinkEvents&)>
+        port = {};
     std::size_t max_function_names =
         65'536;  // of functions kept for the module's orders; the longest unused go
   };
--- a/src/front/message.cpp
+++ b/src/front/message.cpp
@@ -19,18 +19,18 @@
 
 using Protocol = TBinaryProtocolT<TMemoryBuffer>;
 
-constexpr std::int32_t kMostText = static_cast<std::int32_t>(kMaxFrameBytes);
-constexpr std::int32_t kMostEntries = 64;  // of a map or list
-constexpr int kDeepest = 16;               // structures within each other
+constexpr std::int32_t kMaxStringBytes = static_cast<std::int32_t>(kMaxFrameBytes);
+constexpr std::int32_t kMaxContainerEntries = 64;  // in a map or list
+constexpr int kMaxNesting = 16;                    // nesting depth of structures
 
 const std::shared_ptr<TConfiguration>& configuration() {
-  static const auto held =
-      std::make_shared<TConfiguration>(static_cast<int>(kMaxFrameBytes), static_cast<int>(kMaxFrameBytes), kDeepest);
+  static const auto held = std::make_shared<TConfiguration>(static_cast<int>(kMaxFrameBytes),
+                                                            static_cast<int>(kMaxFrameBytes), kMaxNesting);
   return held;
 }
 
-// What libthrift reports of bytes that do not fit, and of a body or field that is over ours.
-struct Unfit : std::runtime_error {
+// The message is well-formed Thrift but not a valid request, or exceeds a limit.
+struct InvalidMessage : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -39,13 +39,14 @@
   std::uint32_t size = 0;
   in.readMapBegin(key, value, size);
   if (size > 0 && (key != proto::T_STRING || value != proto::T_STRING))
-    throw Unfit("fields: not a map of texts");
+    throw InvalidMessage("fields: not a map of strings");
   Fields fields;
   for (std::uint32_t i = 0; i < size; ++i) {
     std::string name, text;
     in.readString(name);
     in.readString(text);
-    if (!fields.emplace(std::move(name), std::move(text)).second) throw Unfit("fields: a name twice");
+    if (!fields.emplace(std::move(name), std::move(text)).second)
+      throw InvalidMessage("fields: duplicate name");
   }
   in.readMapEnd();
   return fields;
@@ -64,16 +65,16 @@
       has_fields = true;
     } else if (id == 2 && type == proto::T_STRING) {
       in.readBinary(request.body);
-      if (request.body.size() > kMaxBodyBytes) throw Unfit("body: over 16 KiB");
+      if (request.body.size() > kMaxBodyBytes) throw InvalidMessage("body: exceeds 16 KiB");
     } else {
       in.skip(type);
     }
   }
-  if (!has_fields) throw Unfit("call: no fields");
+  if (!has_fields) throw InvalidMessage("call: fields are missing");
 }
 
 void read_cancel(Protocol& in, Request& request) {
-  bool told = false;
+  bool has_number = false;
   for (;;) {
     std::string name;
     TType type{};
@@ -81,14 +82,14 @@
     in.readFieldBegin(name, type, id);
     if (type == proto::T_STOP) break;
     if (id == 1 && type == proto::T_I32)
-      in.readI32(request.cancelled), told = true;
+      in.readI32(request.cancelled), has_number = true;
     else
       in.skip(type);
   }
-  if (!told) throw Unfit("cancel: no number");
+  if (!has_number) throw InvalidMessage("cancel: the call number is missing");
 }
 
-// Writes a frame around what `write` puts into the protocol.
+// Appends a frame with a message whose contents `write` writes.
 template <class Write>
 void frame(std::string& out, const char* method, TMessageType type, std::int32_t number, Write write) {
   const auto buffer = std::make_shared<TMemoryBuffer>(256, configuration());
@@ -126,16 +127,16 @@
 
 Parsed parse(std::string_view bytes) {
   Parsed parsed;
-  bool head = false;
+  bool header_read = false;
   try {
     const auto buffer = std::make_shared<TMemoryBuffer>(
         reinterpret_cast<std::uint8_t*>(const_cast<char*>(bytes.data())),
         static_cast<std::uint32_t>(bytes.size()), TMemoryBuffer::OBSERVE, configuration());
-    Protocol in(buffer, kMostText, kMostEntries, true, true);
+    Protocol in(buffer, kMaxStringBytes, kMaxContainerEntries, true, true);
     std::string method;
     TMessageType type{};
     in.readMessageBegin(method, type, parsed.request.number);
-    head = true;
+    header_read = true;
     const bool call = method == "call", cancel = method == "cancel", health = method == "health";
     if (!call && !cancel && !health) {
       parsed.kind = Parsed::Kind::kInvalid, parsed.unknown_method = true;
@@ -143,21 +144,21 @@
       return parsed;
     }
     if (type != (cancel ? proto::T_ONEWAY : proto::T_CALL) && !(cancel && type == proto::T_CALL))
-      throw Unfit("not a message of the type that its method has");
+      throw InvalidMessage("wrong message type for this method");
     if (call) {
-      parsed.request.verb = Request::Verb::kCall;
+      parsed.request.method = Request::Method::kCall;
       read_call(in, parsed.request);
     } else if (cancel) {
-      parsed.request.verb = Request::Verb::kCancel;
+      parsed.request.method = Request::Method::kCancel;
       read_cancel(in, parsed.request);
     } else {
-      parsed.request.verb = Request::Verb::kHealth;
+      parsed.request.method = Request::Method::kHealth;
       in.skip(proto::T_STRUCT);
     }
-    if (buffer->available_read() > 0) throw Unfit("bytes behind the message");
+    if (buffer->available_read() > 0) throw InvalidMessage("trailing bytes after the message");
     parsed.kind = Parsed::Kind::kRequest;
-  } catch (const std::exception& e) {  // libthrift's, and what its allocations may throw
-    parsed.kind = head ? Parsed::Kind::kInvalid : Parsed::Kind::kBad;
+  } catch (const std::exception& e) {  // libthrift's exceptions and failed allocations
+    parsed.kind = header_read ? Parsed::Kind::kInvalid : Parsed::Kind::kBad;
     parsed.why = e.what();
   }
   return parsed;
--- a/src/front/message.h
+++ b/src/front/message.h
@@ -1,5 +1,5 @@
-// Messages of the platform's clients: Thrift, strict binary protocol, framed. Bytes to messages and back; no
-// I/O, no state. The protocol layer is libthrift's; framing and sequence numbers belong to front::Server.
+// Encodes and decodes the messages of the platform's clients: framed Thrift in the strict binary protocol. No
+// I/O, no state. libthrift does the protocol layer; front::Server does framing and sequence numbers.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,13 @@
 namespace laureltide::front {
 
 inline constexpr std::size_t kMaxBodyBytes = 16U << 10;
-// A frame holds a body and some dozens of short fields: what is longer is none.
+// A frame holds a body and a few dozen short fields; longer frames are rejected.
 inline constexpr std::size_t kMaxFrameBytes = kMaxBodyBytes + (16U << 10);
 
 using Fields = std::map<std::string, std::string>;
 
 struct Request {
-  enum class Verb { kCall, kCancel, kHealth } verb = Verb::kCall;
+  enum class Method { kCall, kCancel, kHealth } method = Method::kCall;
   std::int32_t number = 0;  // the sequence number
   Fields fields;            // of a call
   std::string body;         // of a call
@@ -26,21 +26,21 @@
 struct Parsed {
   enum class Kind {
     kRequest,
-    kInvalid,  // a whole message that is no request of ours: `request.number` is to be told `why`
-    kBad,    // nothing of it can be relied on
+    kInvalid,  // a complete message but no valid request: reply to `request.number` with `why`
+    kBad,      // the message header cannot be parsed
   } kind = Kind::kBad;
   Request request;
   std::string why;
   bool unknown_method = false;
 };
-// `frame` is what is behind a frame's length. Never throws.
+// Parses a frame without its length prefix. Never throws.
 Parsed parse(std::string_view frame);
 
 struct Reply {
   enum class Kind {
-    kServed,     // Answer, good
-    kRefused,    // Backoff: trying again is harmless
-    kFailed,     // Lost
+    kServed,     // an Answer with good = true
+    kRefused,    // a Backoff: safe to retry
+    kFailed,     // a Lost
     kException,  // an application exception with `text`
   } kind = Kind::kFailed;
   Fields fields;
@@ -48,7 +48,7 @@
   std::string text;  // kException
   bool unknown_method = false;
 };
-// Appends a whole frame, its length included.
+// Appends a complete frame, including its length prefix.
 void write_reply(std::string& out, std::int32_t number, const Reply& reply);
 void write_health(std::string& out, std::int32_t number, bool good);
 
--- a/src/front/server.h
+++ b/src/front/server.h
@@ -1,17 +1,21 @@
-// The server's end of the platform's client connections: framed Thrift, answers in any order. Sans-I/O.
+// The server for the platform's clients: framed Thrift, answers in any order. It does no I/O of its own.
 //
-// A request and what it gets, where it is no ordinary call:
-//   a length below nothing or over kMaxFrameBytes, bytes that are no message, a sequence number that does not run
-//     up, more cancels than `max_cancels_per_second` at once: an application exception, the connection's open calls are
-//     told failed and end, and it is closed; nothing behind it is read
-//   a whole message that is no request, or is over a bound within: an application exception, the rest goes on
-//   over `max_open_calls` open on a connection: refused
-//   nothing said within `first_byte_timeout`, half a frame for `frame_timeout`: as bytes that are no message
-// Over `max_connections` the one goes that has been silent longest with nothing open; where all have
-// something open, the new one. A client that does not read its answers is hung up on at `max_unsent_bytes` bytes.
+// Handling of clients that misbehave or exceed a limit:
+//   a frame length that is negative or over kMaxFrameBytes, an unparsable message, a sequence number that
+//   does
+//     not increase, more than `max_cancels_per_second` cancels: an application exception; the open calls of
+//     the connection are answered as failed and abandoned, the connection is closed, and no more input is
+//     read
+//   a complete message that is not a valid request, or exceeds an inner limit: an application exception; the
+//     connection stays open
+//   more than `max_open_calls` open calls on a connection: refused
+//   no byte within `first_byte_timeout`, or a partial frame for `frame_timeout`: as for an unparsable message
+// Above `max_connections`, the connection that has been idle longest without open calls is closed; if all
+// have open calls, the new one is rejected. A client that does not read its answers is disconnected once
+// `max_unsent_bytes` are pending.
 //
-// A client that ends its side has gone, also if it only ended half of the connection: what it sent before
-// is taken and then told gone, in that order.
+// A client that closes its side counts as gone, even if it closed only its sending half: its earlier requests
+// are delivered first, then reported as abandoned.
 #pragma once
 
 #include <functional>
@@ -25,8 +29,8 @@
 
 struct ServerOptions {
   std::size_t max_connections = 256;
-  std::size_t max_open_calls = 32;     // on one connection
-  std::size_t max_cancels_per_second = 64;  // in a second, on one connection
+  std::size_t max_open_calls = 32;          // per connection
+  std::size_t max_cancels_per_second = 64;  // per connection
   std::size_t max_unsent_bytes = 1U << 20;
   Duration first_byte_timeout = std::chrono::milliseconds(2000);
   Duration frame_timeout = std::chrono::milliseconds(2000);
@@ -34,14 +38,14 @@
 
 class Server {
  public:
-  // Names a call until it is answered or nobody waits for it.
+  // Identifies a call until it is answered or abandoned.
   using Ticket = std::uint64_t;
   class Events {
    public:
     virtual ~Events() = default;
-    // Answer it by respond(), now or later.
+    // Answer it with respond(), now or later.
     virtual void on_call(Ticket ticket, Fields fields, std::string body) = 0;
-    // It was cancelled, or its connection ended: respond() would do nothing.
+    // The call was cancelled or its connection ended; respond() has no effect any more.
     virtual void on_gone(Ticket ticket) = 0;
     virtual bool healthy() = 0;
     virtual void on_anomaly(const std::string& what) = 0;
@@ -52,19 +56,19 @@
   bool listen(const io::Address& at);
   io::Address address() const { return listener_->address(); }
   void respond(Ticket ticket, const Reply& reply);
-  // Takes in what the machine has accepted up to now, and accepts no more.
+  // Serves the connections that the operating system has accepted so far, and accepts no more.
   void stop_listening();
-  // Ends all connections on which nothing is open, in order: what was written is read first.
+  // Closes all connections without open calls gracefully: clients receive what was written before.
   void close_idle_connections();
   std::size_t connections() const { return connections_.size(); }
   std::size_t open_calls() const { return tickets_.size(); }
-  std::size_t unsent() const;                 // bytes of answers that the machine has not taken yet
-  Time last_received() const { return heard_; }  // bytes of any client
+  std::size_t unsent() const;                            // bytes of answers not yet accepted by the sockets
+  Time last_received() const { return last_received_; }  // when a client last sent data
 
  private:
   class Connection;
   io::ConnectionEvents* accept(std::unique_ptr<io::Connection> stream);
-  bool make_room();
+  bool close_longest_idle();
   void drop(Connection& connection);
   void sweep();
 
@@ -74,10 +78,10 @@
   std::unique_ptr<io::Listener> listener_;
   std::map<Connection*, std::unique_ptr<Connection>> connections_;
   std::map<Ticket, Connection*> tickets_;
-  io::Graveyard<Connection> dead_;
+  io::Graveyard<Connection> closed_connections_;
   std::unique_ptr<io::Timer> sweep_;
-  Time heard_{};
-  Ticket next_ = 1;
+  Time last_received_{};
+  Ticket next_ticket_ = 1;
 };
 
 }  // namespace laureltide::front
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -421,7 +421,7 @@
 // A second copy, a late one, or one under an id that was never sent: passed over, but not without end.
 void Link::on_unasked(Wire& wire, std::uint64_t id) {
   events_.on_anomaly(worker_, wire.carried.contains(id) ? "a copy of an answer, or one to what was given up"
-                                                       : "an answer under an id that was never sent there");
+                                                        : "an answer under an id that was never sent there");
   if (++wire.unknown > options_.most_unknown) drop(wire, Outcome::kReset, "answers that nobody waits for");
 }
 
--- a/src/worker/link.cpp
+++ b/src/worker/link.cpp
@@ -51,52 +51,53 @@
       address_(std::move(address)),
       options_(std::move(options)),
       events_(events) {
-  dialing_ = host.timer([this] {  // connected, but no hello: the same as not connected
+  dial_timer_ = host.timer([this] {  // no hello in time counts as a failed connection
     connection_.reset();
-    lost(io::Closed::kNeverOpened);
+    on_connection_lost(io::Closed::kNeverOpened);
   });
-  later_timer_ = host.timer([this] {
-    const auto due = std::exchange(later_, {});
+  deferred_timer_ = host.timer([this] {
+    const auto due = std::exchange(deferred_, {});
     for (const auto& what : due) what();
   });
 }
 Link::~Link() = default;
 
-void Link::later(std::function<void()> what) {
-  if (later_.empty()) later_timer_->start(Duration(0));
-  later_.push_back(std::move(what));
+void Link::defer(std::function<void()> what) {
+  if (deferred_.empty()) deferred_timer_->start(Duration(0));
+  deferred_.push_back(std::move(what));
 }
 
 void Link::call(Call call, std::string_view body, std::uint64_t cookie) {
-  give(std::move(call), body, cookie);
+  send_or_queue(std::move(call), body, cookie);
 }
 void Link::hold(const std::string& function, int instances, std::uint64_t cookie) {
-  give(Hold{0, static_cast<std::uint8_t>(instances), function}, {}, cookie);
+  send_or_queue(Hold{0, static_cast<std::uint8_t>(instances), function}, {}, cookie);
 }
-void Link::probe(std::uint64_t cookie) { give(Probe{}, {}, cookie); }
+void Link::probe(std::uint64_t cookie) { send_or_queue(Probe{}, {}, cookie); }
 
-void Link::give(Message message, std::string_view body, std::uint64_t cookie) {
-  const bool crowded =
+void Link::send_or_queue(Message message, std::string_view body, std::uint64_t cookie) {
+  const bool over_limit =
       calls_.size() + holds_.size() + probes_.size() + waiting_.size() >= options_.max_outstanding ||
       (connection_ && connection_->unsent() > options_.max_unsent_bytes);
-  const bool drained = draining_ && state_ == State::kReady && !std::holds_alternative<Probe>(message);
-  if (crowded || drained)  // not handed to the transport: never ran
-    return later([this, m = std::move(message), cookie] { end_waiting(m, cookie, Outcome::kFull); });
-  if (state_ == State::kReady) return put(message, body, cookie);
+  const bool worker_draining =
+      draining_ && state_ == State::kReady && !std::holds_alternative<Probe>(message);
+  if (over_limit || worker_draining)  // not handed to the transport: never ran
+    return defer([this, m = std::move(message), cookie] { end_waiting(m, cookie, Outcome::kFull); });
+  if (state_ == State::kReady) return transmit(message, body, cookie);
   if (auto* c = std::get_if<Call>(&message)) c->body = body;
   waiting_.push_back({std::move(message), cookie});
   if (state_ == State::kIdle) dial();
 }
 
-void Link::put(const Message& message, std::string_view body, std::uint64_t cookie) {
+void Link::transmit(const Message& message, std::string_view body, std::uint64_t cookie) {
   scratch_.clear();
   if (const auto* call = std::get_if<Call>(&message)) {
     Call fields = *call;
     fields.body.clear();
     fields.id = next_id_;
     write_call(scratch_, fields, body);
-    if (scratch_.size() - 4 > peer_max_frame_)  // the worker would close on it
-      return later([this, m = message, cookie] { end_waiting(m, cookie, Outcome::kFull); });
+    if (scratch_.size() - 4 > peer_max_frame_)  // the worker would close the connection
+      return defer([this, m = message, cookie] { end_waiting(m, cookie, Outcome::kFull); });
     calls_[next_id_] = cookie;
     call_ids_[cookie] = next_id_;
     ++next_id_;
@@ -112,7 +113,7 @@
 
 void Link::cancel(std::uint64_t cookie) {
   if (forget_waiting(cookie)) {
-    return later([this, cookie] {
+    return defer([this, cookie] {
       events_.on_call_end(worker_, cookie, {Outcome::kCancelled, {}, {}, {}, {}, {}});
     });
   }
@@ -125,24 +126,24 @@
 
 void Link::withdraw(std::uint64_t cookie) {
   if (forget_waiting(cookie))
-    later([this, cookie] { events_.on_call_end(worker_, cookie, {Outcome::kNotRun, {}, {}, {}, {}, {}}); });
+    defer([this, cookie] { events_.on_call_end(worker_, cookie, {Outcome::kNotRun, {}, {}, {}, {}, {}}); });
 }
 
 void Link::withdraw_waiting() {
   for (Waiting& w : std::exchange(waiting_, {}))
-    later([this, m = std::move(w.message), cookie = w.cookie] { end_unsent(m, cookie); });
+    defer([this, m = std::move(w.message), cookie = w.cookie] { end_unsent(m, cookie); });
 }
 
-// What waited for the connection was decided a while ago.
+// Checked again because the decision to send was made before the connection was ready.
 bool Link::may_be_sent(const Waiting& waiting) {
   if (std::holds_alternative<Probe>(waiting.message)) return true;
   const auto* hold = std::get_if<Hold>(&waiting.message);
-  if (hold && hold->instances == 0) return true;  // a question is nothing new
+  if (hold && hold->instances == 0) return true;  // a query starts no work
   if (!events_.may_start_work(worker_)) return false;
   return hold || events_.may_be_sent(worker_, waiting.cookie);
 }
 
-// Nothing of it left, and nothing will.
+// Ends a message that was never sent and never will be.
 void Link::end_unsent(const Message& message, std::uint64_t cookie) {
   end_waiting(message, cookie, std::holds_alternative<Call>(message) ? Outcome::kNotRun : Outcome::kFull);
 }
@@ -171,7 +172,7 @@
 }
 
 void Link::release(const std::string& function) {
-  if (state_ != State::kReady) return;  // without a connection there is nothing of ours to release
+  if (state_ != State::kReady) return;  // without a connection the worker holds nothing for us
   scratch_.clear();
   write(scratch_, Release{function});
   connection_->write(scratch_);
@@ -179,7 +180,7 @@
 
 void Link::dial() {
   state_ = State::kDialing;
-  ++dials_;
+  ++dial_count_;
   draining_ = false;
   peer_max_frame_ = kHelloMaxFrame;
   next_id_ = 1;
@@ -187,7 +188,7 @@
   options.connect_timeout = options_.dial_timeout;
   options.read_ahead = options_.max_frame + 64U * 1024U;
   connection_ = host_.connect(address_, options, *this);
-  dialing_->start(options_.dial_timeout);
+  dial_timer_->start(options_.dial_timeout);
 }
 
 void Link::on_open() {
@@ -199,8 +200,8 @@
 
 std::size_t Link::on_bytes(std::string_view bytes) {
   std::size_t used = 0;
-  const std::uint64_t dial = dials_;  // a message may end this connection and begin the next
-  while (connection_ && dials_ == dial) {
+  const std::uint64_t dial = dial_count_;  // handling a message may replace the connection
+  while (connection_ && dial_count_ == dial) {
     const ParseResult r =
         parse(bytes.substr(used), state_ == State::kReady ? options_.max_frame : kHelloMaxFrame);
     if (r.kind == ParseResult::Kind::kNeedMore) break;
@@ -221,38 +222,39 @@
   connection_->write(scratch_);
   connection_->finish();
   connection_.reset();
-  lost(io::Closed::kBroken);
+  on_connection_lost(io::Closed::kBroken);
 }
 
 void Link::on_message(Message message) {
   if (const auto* hello = std::get_if<Hello>(&message)) {
     if (state_ != State::kDialing) return fail_protocol(kUnexpected, "a second hello");
-    if (hello->major != kMajor) return fail_protocol(kVersion, "another major version");
+    if (hello->major != kMajor) return fail_protocol(kVersion, "unsupported major protocol version");
     if (hello->id != static_cast<std::uint32_t>(worker_))
       return fail_protocol(kUnexpected, "another worker answers at this address");
     state_ = State::kReady;
-    dialing_->stop();
+    dial_timer_->stop();
     peer_max_frame_ = std::max(hello->max_frame, kHelloMaxFrame);
     for (Waiting& w : std::exchange(waiting_, {})) {
       if (!may_be_sent(w)) {
-        later([this, m = std::move(w.message), cookie = w.cookie] { end_unsent(m, cookie); });
+        defer([this, m = std::move(w.message), cookie = w.cookie] { end_unsent(m, cookie); });
         continue;
       }
       const auto* call = std::get_if<Call>(&w.message);
-      put(w.message, call ? std::string_view(call->body) : std::string_view{}, w.cookie);
+      transmit(w.message, call ? std::string_view(call->body) : std::string_view{}, w.cookie);
     }
     return;
   }
-  if (state_ != State::kReady) return fail_protocol(kUnexpected, "no hello first");
+  if (state_ != State::kReady) return fail_protocol(kUnexpected, "a message before the hello");
   if (auto* answer = std::get_if<Answer>(&message)) return on_answer(std::move(*answer));
   if (auto* piece = std::get_if<Piece>(&message)) {
     const auto it = calls_.find(piece->id);
-    if (it == calls_.end()) return events_.on_anomaly(worker_, "a piece that nobody waits for");
+    if (it == calls_.end())
+      return events_.on_anomaly(worker_, "a piece of an answer to a call that is not in flight");
     return events_.on_piece(worker_, it->second, std::move(piece->body));
   }
   if (const auto* held = std::get_if<Held>(&message)) {
     const auto it = holds_.find(held->order);
-    if (it == holds_.end()) return events_.on_anomaly(worker_, "a hold answer that nobody waits for");
+    if (it == holds_.end()) return events_.on_anomaly(worker_, "a hold answer without a pending order");
     const std::uint64_t cookie = it->second;
     holds_.erase(it);
     const Outcome outcome = held->kind == HeldKind::kOk     ? Outcome::kOk
@@ -262,24 +264,24 @@
   }
   if (const auto* probed = std::get_if<Probed>(&message)) {
     const auto it = probes_.find(probed->id);
-    if (it == probes_.end()) return events_.on_anomaly(worker_, "a probe answer that nobody waits for");
+    if (it == probes_.end()) return events_.on_anomaly(worker_, "a probe answer without a pending probe");
     const std::uint64_t cookie = it->second;
     probes_.erase(it);
     return events_.on_probe_end(worker_, cookie, Outcome::kOk, to_load_report(probed->report));
   }
   if (const auto* drain = std::get_if<Drain>(&message)) return on_drain(drain->last_taken);
   if (const auto* error = std::get_if<Error>(&message)) {
-    events_.on_anomaly(worker_, "says: " + error->text);
-    return;  // it closes behind this
+    events_.on_anomaly(worker_, "reported an error: " + error->text);
+    return;  // the worker closes the connection after it
   }
-  fail_protocol(kUnexpected, "a controller's message from a worker");
+  fail_protocol(kUnexpected, "a message type that only controllers send");
 }
 
 void Link::on_answer(Answer answer) {
   const auto it = calls_.find(answer.id);
   if (it == calls_.end())
     return events_.on_anomaly(worker_, answer.id >= next_id_ ? "an answer to a call never sent"
-                                                            : "an answer that nobody waits for any more");
+                                                             : "an answer that nobody waits for any more");
   const std::uint64_t cookie = it->second;
   calls_.erase(it);
   call_ids_.erase(cookie);
@@ -293,28 +295,28 @@
   events_.on_call_end(worker_, cookie, std::move(end));
 }
 
-// The worker's word that it took nothing above this id is proof for all of these.
+// Calls above the last id that the worker took have never run.
 void Link::on_drain(std::uint64_t last_taken) {
   draining_ = true;
-  std::vector<std::uint64_t> never;
+  std::vector<std::uint64_t> not_taken;
   for (auto it = calls_.upper_bound(last_taken); it != calls_.end(); it = calls_.erase(it)) {
     call_ids_.erase(it->second);
-    never.push_back(it->second);
+    not_taken.push_back(it->second);
   }
-  for (const std::uint64_t cookie : never)
+  for (const std::uint64_t cookie : not_taken)
     events_.on_call_end(worker_, cookie, {Outcome::kFull, {}, {}, {}, "the worker drains", {}});
 }
 
-void Link::on_closed(io::Closed why) { lost(why); }
+void Link::on_closed(io::Closed why) { on_connection_lost(why); }
 
-void Link::lost(io::Closed) {
+void Link::on_connection_lost(io::Closed) {
   if (state_ == State::kIdle) return;
-  dialing_->stop();
+  dial_timer_->stop();
   if (connection_) connection_->finish();
   connection_.reset();
   state_ = State::kIdle;
   draining_ = false;
-  // Emptied first: the events may give new work, which dials anew.
+  // Emptied first: the event handlers may submit new work, which reconnects.
   const auto waiting = std::exchange(waiting_, {});
   const auto calls = std::exchange(calls_, {});
   const auto holds = std::exchange(holds_, {});
--- a/src/worker/protocol.cpp
+++ b/src/worker/protocol.cpp
@@ -11,7 +11,7 @@
 }
 
 template <class E>
-E among(Reader& in, E last) {
+E read_enum(Reader& in, E last) {
   const std::uint8_t raw = in.u8();
   if (raw < 1 || raw > static_cast<std::uint8_t>(last)) in.fail();
   return static_cast<E>(raw);
@@ -38,7 +38,7 @@
       m.major = in.u8(), m.minor = in.u8(), m.max_frame = in.u32(), m.id = in.u32();
       m.started_unix_ms = static_cast<std::int64_t>(in.u64());
       m.name = text(in);
-      in.rest();  // later minor versions add fields behind
+      in.rest();  // later minor versions may append fields
       return m;
     }
     case FrameType::kCall: {
@@ -51,7 +51,7 @@
     case FrameType::kCancel: return Cancel{in.u64()};
     case FrameType::kAnswer: {
       Answer m;
-      m.id = in.u64(), m.kind = among(in, AnswerKind::kCancelled);
+      m.id = in.u64(), m.kind = read_enum(in, AnswerKind::kCancelled);
       const std::uint8_t found = in.u8();
       if (found > static_cast<std::uint8_t>(FoundKind::kLoadFailed)) in.fail();
       m.found = static_cast<FoundKind>(found), m.others_in_flight = in.u8();
@@ -70,7 +70,7 @@
     }
     case FrameType::kHeld: {
       Held m;
-      m.order = in.u64(), m.kind = among(in, HeldKind::kLoadFailed), m.instances = in.u8();
+      m.order = in.u64(), m.kind = read_enum(in, HeldKind::kLoadFailed), m.instances = in.u8();
       return m;
     }
     case FrameType::kRelease: return Release{text(in)};
@@ -125,9 +125,9 @@
   using Kind = ParseResult::Kind;
   if (bytes.size() < 4) return {};
   const std::size_t size = Reader(bytes).u32();
-  if (size > max_frame) return {Kind::kBad, {}, 0, kTooLarge, "frame longer than its bound"};
+  if (size > max_frame) return {Kind::kBad, {}, 0, kTooLarge, "frame exceeds the maximum length"};
   if (size < 1) return {Kind::kBad, {}, 0, kBadFrame, "frame without a type"};
-  // The type is looked at before the rest is waited for, so that garbage shows at once.
+  // The type is checked before the whole frame has arrived, so that garbage is rejected early.
   if (bytes.size() < 5) return {};
   const auto type = static_cast<std::uint8_t>(bytes[4]);
   if (type < 1 || type > static_cast<std::uint8_t>(FrameType::kError))
@@ -135,7 +135,7 @@
   if (bytes.size() < 4 + size) return {};
   Reader in(bytes.substr(5, size - 1));
   Message message = read(static_cast<FrameType>(type), in);
-  if (!in.done()) return {Kind::kBad, {}, 0, kBadFrame, "fields do not fit the frame"};
+  if (!in.done()) return {Kind::kBad, {}, 0, kBadFrame, "frame length does not match its fields"};
   return {Kind::kMessage, std::move(message), 4 + size, kBadFrame, {}};
 }
 
--- a/src/worker/protocol.h
+++ b/src/worker/protocol.h
@@ -1,8 +1,8 @@
-// The worker protocol, LTWP/1: what a controller and a worker say to each other, as bytes. No I/O, no state.
-// docs/worker-protocol.md tells it byte by byte; this header follows the page's sections.
+// The worker protocol, LTWP/1: encodes and decodes the messages between controller and worker. No I/O, no
+// state. docs/worker-protocol.md specifies every byte; this header follows the page's sections.
 //
-// A frame is a u32 length of what follows, a u8 type, and the type's fields, big-endian; texts are
-// u16-counted.
+// A frame is a u32 length of what follows, a u8 type, and the type's fields, big-endian; strings
+// have a u16 length prefix.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,8 @@
 inline constexpr std::uint32_t kMagic = 0x4c545750;  // "LTWP"
 inline constexpr std::uint8_t kMajor = 1, kMinor = 0;
 inline constexpr std::uint32_t kDefaultMaxFrame = 9U << 20;
-inline constexpr std::uint32_t kHelloMaxFrame = 1024;  // before the peer's hello: garbage cannot make us wait
+inline constexpr std::uint32_t kHelloMaxFrame =
+    1024;  // before the peer's hello, so that garbage is detected early
 inline constexpr std::uint8_t kOthersNotReported = 255;
 
 enum class FrameType : std::uint8_t {
@@ -37,10 +38,10 @@
   kError
 };
 
-// What became of a call, as the worker says. Full and miss say that it never ran here and never will.
+// The result of a call as reported by the worker. After kFull and kMiss it never ran there and never will.
 enum class AnswerKind : std::uint8_t { kOk = 1, kError, kFull, kMiss, kCancelled };
 enum class FoundKind : std::uint8_t { kNotReported = 0, kLoaded, kBeganLoad, kAwaitedLoad, kLoadFailed };
-// What became of a hold order: held, or no room, or a load failed.
+// The result of a hold order: held, no room, or a load failed.
 enum class HeldKind : std::uint8_t { kOk = 1, kFull, kLoadFailed };
 
 enum class ReportField : std::uint8_t {
@@ -54,24 +55,24 @@
   kLoads
 };
 struct Report {
-  std::vector<std::pair<std::uint8_t, float>> values;  // fields this version does not know are passed over
+  std::vector<std::pair<std::uint8_t, float>> values;  // unknown fields are ignored
   bool operator==(const Report&) const = default;
 };
 
 struct Hello {
   std::uint8_t major = kMajor, minor = kMinor;
-  std::uint32_t max_frame = kDefaultMaxFrame;  // the largest frame that the sender takes
+  std::uint32_t max_frame = kDefaultMaxFrame;  // the largest frame that the sender accepts
   std::uint32_t id = 0;                        // controller's number, or the worker's id in the list
-  std::int64_t started_unix_ms = 0;            // of the sender's process
+  std::int64_t started_unix_ms = 0;            // start time of the sender's process
   std::string name;
 };
 struct Call {
-  std::uint64_t id = 0;                     // rises by one with each call of a connection, from 1
-  std::uint32_t patience_ms = 0;            // how long an answer is still of use, from arrival
-  std::uint8_t attempt = 0;                 // of this call by this controller
-  std::string function, name, key, tenant;  // key empty: not keyed
+  std::uint64_t id = 0;                     // counts the calls of a connection, from 1
+  std::uint32_t patience_ms = 0;            // time left to answer, counted from arrival
+  std::uint8_t attempt = 0;                 // number of this attempt at this controller
+  std::string function, name, key, tenant;  // an empty key: no deduplication
   std::string body;
-  std::string request_class = {};  // not said in LTWP, whose workers know it from the function
+  std::string request_class = {};  // not sent in LTWP: workers derive it from the function
 };
 struct Cancel {
   std::uint64_t id = 0;
@@ -80,7 +81,7 @@
   std::uint64_t id = 0;
   AnswerKind kind = AnswerKind::kOk;
   FoundKind found = FoundKind::kNotReported;
-  std::uint8_t others_in_flight = kOthersNotReported;  // calls of the function that were here when this one came
+  std::uint8_t others_in_flight = kOthersNotReported;  // calls of the function in flight on arrival
   Report report;
   std::string reason;
   std::string body;
@@ -111,7 +112,7 @@
 };
 struct Drain {
   std::uint64_t last_taken = 0;
-};  // calls above it were not taken, and never will be
+};  // later calls were not taken and never will be
 struct Error {
   std::uint16_t code = 0;
   std::string text;
@@ -128,10 +129,11 @@
   ErrorCode code = kBadFrame;
   std::string_view why;
 };
-// The first message of `bytes`; a frame longer than `max_frame` is bad as soon as its length shows it.
+// Parses the first message of `bytes`. A frame longer than `max_frame` is rejected as soon as its length is
+// known.
 ParseResult parse(std::string_view bytes, std::uint32_t max_frame);
 void write(std::string& out, const Message& message);
-// A call whose body is written straight behind its fields.
+// Writes a call with `body` instead of `fields.body`, which saves a copy.
 void write_call(std::string& out, const Call& fields, std::string_view body);
 
 }  // namespace laureltide::worker
--- a/src/worker/server.cpp
+++ b/src/worker/server.cpp
@@ -4,16 +4,16 @@
 
 namespace laureltide::worker {
 
-constexpr Duration kHelloWithin = std::chrono::seconds(5);  // for a half-open client
+constexpr Duration kHelloTimeout = std::chrono::seconds(5);  // bounds half-open connections
 
 Session::Session(io::Host& host, Hello mine, SessionEvents& events)
-    : mine_(std::move(mine)), events_(events) {
-  patience_ = host.timer([this] { fail(kUnexpected, "no hello in time"); });
+    : own_hello_(std::move(mine)), events_(events) {
+  hello_timer_ = host.timer([this] { fail(kUnexpected, "no hello in time"); });
 }
 
 void Session::on_open() {
-  patience_->start(kHelloWithin);
-  send(mine_);
+  hello_timer_->start(kHelloTimeout);
+  send(own_hello_);
 }
 
 void Session::send(const Message& message) {
@@ -40,7 +40,7 @@
 std::size_t Session::on_bytes(std::string_view bytes) {
   std::size_t used = 0;
   while (!ended_) {
-    const ParseResult r = parse(bytes.substr(used), greeted_ ? mine_.max_frame : kHelloMaxFrame);
+    const ParseResult r = parse(bytes.substr(used), hello_received_ ? own_hello_.max_frame : kHelloMaxFrame);
     if (r.kind == ParseResult::Kind::kNeedMore) return used;
     if (r.kind == ParseResult::Kind::kBad) {
       fail(r.code, r.why);
@@ -49,34 +49,35 @@
     used += r.size;
     auto& message = const_cast<Message&>(r.message);
     if (const auto* hello = std::get_if<Hello>(&message)) {
-      if (greeted_ || hello->major != kMajor) {
-        fail(greeted_ ? kUnexpected : kVersion, greeted_ ? "a second hello" : "this worker speaks version 1");
+      if (hello_received_ || hello->major != kMajor) {
+        fail(hello_received_ ? kUnexpected : kVersion,
+             hello_received_ ? "a second hello" : "this worker supports version 1 only");
         break;
       }
-      greeted_ = true;
-      patience_->stop();
+      hello_received_ = true;
+      hello_timer_->stop();
       peer_ = *hello;
       events_.on_hello(*this, *hello);
       continue;
     }
-    if (!greeted_) {
-      fail(kUnexpected, "no hello first");
+    if (!hello_received_) {
+      fail(kUnexpected, "a message before the hello");
       break;
     }
     if (const auto* call = std::get_if<Call>(&message)) {
-      if (draining_) continue;  // it was told: nothing above the last id was taken
+      if (draining_) continue;  // the drain message already rejected it
       if (call->id != last_call_ + 1) {
-        fail(kUnexpected, "call ids rise by one");
+        fail(kUnexpected, "call ids must increase by one");
         break;
       }
       last_call_ = call->id;
     } else if (std::holds_alternative<Answer>(message) || std::holds_alternative<Piece>(message) ||
                std::holds_alternative<Held>(message) || std::holds_alternative<Probed>(message) ||
                std::holds_alternative<Drain>(message)) {
-      fail(kUnexpected, "a worker's message from a controller");
+      fail(kUnexpected, "a message type that only workers send");
       break;
     } else if (std::holds_alternative<Error>(message)) {
-      continue;  // it closes behind this
+      continue;  // the controller closes the connection after it
     }
     events_.on_message(*this, std::move(message));
   }
@@ -93,7 +94,7 @@
 
 void Session::end() {
   if (std::exchange(ended_, true)) return;
-  patience_->stop();
+  hello_timer_->stop();
   events_.on_end(*this);
 }
 
--- a/src/worker/server.h
+++ b/src/worker/server.h
@@ -1,4 +1,4 @@
-// The worker's end of the worker protocol: one accepted connection. Sans-I/O.
+// The worker's side of the worker protocol: one accepted connection. It does no I/O of its own.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
  public:
   virtual ~SessionEvents() = default;
   virtual void on_hello(Session& session, const Hello& hello) = 0;
-  virtual void on_message(Session& session, Message message) = 0;  // call, cancel, hold, release, probe
+  virtual void on_message(Session& session, Message message) = 0;  // call, cancel, hold, release or probe
   // The last event. The owner may destroy the session only outside its calls (io::Graveyard).
   virtual void on_end(Session& session) = 0;
 };
@@ -25,9 +25,9 @@
 
   void attach(std::unique_ptr<io::Connection> connection) { connection_ = std::move(connection); }
   void send(const Message& message);
-  void send_raw(std::string_view bytes);  // for stand-ins that misbehave
-  void drain();  // says that nothing above the last call seen was taken; later calls are passed over
-  void abort();  // a reset in mid-stream
+  void send_raw(std::string_view bytes);  // lets stand-ins violate the protocol
+  void drain();                           // reports the last call taken; later calls are ignored
+  void abort();                           // resets the connection
   void read(bool enabled) {
     if (connection_) connection_->read(enabled);
   }
@@ -43,11 +43,11 @@
   void fail(ErrorCode code, std::string_view why);
   void end();
 
-  Hello mine_, peer_;
+  Hello own_hello_, peer_;
   SessionEvents& events_;
   std::unique_ptr<io::Connection> connection_;
-  std::unique_ptr<io::Timer> patience_;
-  bool greeted_ = false, ended_ = false, draining_ = false;
+  std::unique_ptr<io::Timer> hello_timer_;
+  bool hello_received_ = false, ended_ = false, draining_ = false;
   std::uint64_t last_call_ = 0;
   std::string scratch_;
 };
--- a/src/worker/worker_link.h
+++ b/src/worker/worker_link.h
@@ -1,8 +1,8 @@
-// What the controller needs of its end towards one worker, whatever protocol is spoken there.
+// The interface through which the controller talks to one worker, independent of the wire protocol.
 //
-// A port reports for everything given to it exactly one end, never from within the call that gave it, and
-// tells apart what is proven never to have run from what may have run (LinkEvents). Two stand behind it:
-// worker::Link (LTWP) and platform::Link (the platform's binary frames).
+// For each call, hold and probe submitted, a link reports exactly one end through LinkEvents, and never from
+// within the submitting function. The outcome distinguishes calls that are known never to have run from those
+// that may have run. Implementations: worker::Link (LTWP) and platform::Link (the platform's binary frames).
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 namespace laureltide::worker {
 
-// `cookie` is the caller's own word for what it gave.
+// Receives the results. `cookie` is the value that the submitter passed to identify its call, hold or probe.
 class LinkEvents {
  public:
   virtual ~LinkEvents() = default;
@@ -31,16 +31,16 @@
   virtual void on_piece(WorkerId worker, std::uint64_t cookie, std::string body) = 0;
   virtual void on_hold_end(WorkerId worker, std::uint64_t cookie, Outcome outcome, int instances) = 0;
   virtual void on_probe_end(WorkerId worker, std::uint64_t cookie, Outcome outcome, LoadReport report) = 0;
-  // Whether something new may begin at the worker now. Asked at the moment at which the bytes of a call or of
-  // an order to load would leave that waited for a connection, or that the machine has not taken.
+  // Whether the worker may be given new work now. Asked just before a call or an order to load is sent that
+  // was queued, either for the connection or because the socket buffer was full.
   virtual bool may_start_work(WorkerId) { return true; }
-  // Whether a call's bytes may still leave that has waited since it was given; asked at the same moments.
+  // Whether a queued call may still be sent; asked at the same moments.
   virtual bool may_be_sent(WorkerId, std::uint64_t) { return true; }
-  // The bytes of a call were handed to the transport, on the connection of that number of the port's own.
+  // The bytes of a call were handed to the transport; the last argument numbers the link's connections.
   virtual void on_call_sent(WorkerId, std::uint64_t, std::uint64_t) {}
-  // A connection to the worker ended; `why` is one of a few fixed texts.
+  // A connection to the worker ended; `why` is one of a few fixed reasons.
   virtual void on_connection_end(WorkerId, std::string_view) {}
-  // Something the worker did that the protocol does not allow, or an answer that nobody waits for.
+  // The worker violated the protocol, or sent an answer to a call that is not in flight.
   virtual void on_anomaly(WorkerId worker, const std::string& what) = 0;
 };
 
@@ -48,25 +48,25 @@
  public:
   virtual ~WorkerLink() = default;
 
-  // `call.id` is set by the port. The body is read at once, or kept only until the connection stands.
+  // The link sets `call.id`. The body is sent at once, or copied and kept only until the connection is ready.
   virtual void call(Call call, std::string_view body, std::uint64_t cookie) = 0;
-  virtual void cancel(std::uint64_t cookie) = 0;  // the end still comes
-  // Nobody wants it any more, whether or not the worker could be told: what has not been handed to the
-  // transport never is, and ends as moot. What was handed over stays out.
+  virtual void cancel(std::uint64_t cookie) = 0;  // the call still ends through on_call_end
+  // The call is no longer wanted. If it has not been handed to the transport it is never sent and ends as
+  // kNotRun; otherwise it stays in flight. The worker is not notified.
   virtual void withdraw(std::uint64_t cookie) = 0;
-  // The same for all that waits here, orders and probes too (those end as full): the worker leaves.
+  // Withdraws everything queued, because the worker is leaving. Holds and probes end as kFull.
   virtual void withdraw_waiting() = 0;
-  // The caller waits no longer: no end comes, a later answer is passed over. True when nothing of it had
-  // left.
+  // Drops the call without reporting an end; a later answer is ignored. Returns true if none of its bytes
+  // were handed to the transport.
   virtual bool forget_call(std::uint64_t cookie) = 0;
-  virtual void forget_hold(std::uint64_t cookie) = 0;  // or a probe
-  // `instances` 0 only asks: that is nothing new to the worker.
+  virtual void forget_hold(std::uint64_t cookie) = 0;  // also drops a probe
+  // With `instances` 0 this only queries the worker and starts no work.
   virtual void hold(const std::string& function, int instances, std::uint64_t cookie) = 0;
   virtual void release(const std::string& function) = 0;
   virtual void probe(std::uint64_t cookie) = 0;
 
   virtual const io::Address& address() const = 0;
-  virtual bool idle() const = 0;  // nothing is out and nothing waits
+  virtual bool idle() const = 0;  // nothing is in flight or queued
 };
 
 }  // namespace laureltide::worker
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings: every error with its line, key and what was expected.
+// Tests the settings: each error names its line, its key and what was expected.
 #include "config/settings.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace laureltide::config {
 namespace {
 
-const std::string kLeast = R"([list]
+const std::string kMinimalSettings = R"([list]
 file = "workers.json"
 [[class]]
 name = "read"
@@ -16,15 +16,15 @@
 class = "read"
 )";
 
-TEST(Settings, TheLeastThatServes) {
-  const SettingsResult c = parse(kLeast, "f.toml");
+TEST(Settings, AcceptsMinimalSettings) {
+  const SettingsResult c = parse(kMinimalSettings, "f.toml");
   for (const Problem& p : c.problems) ADD_FAILURE() << p.to_string();
   ASSERT_TRUE(c.settings);
   EXPECT_TRUE(c.settings->gateway.loopback_only);
   EXPECT_NE(c.settings->find("echo"), nullptr);
 }
 
-TEST(Settings, EachErrorNamesItsLineKeyAndWhatWasExpected) {
+TEST(Settings, ErrorsNameLineKeyAndExpectation) {
   struct Case {
     std::string more, key, text;
     std::uint32_t line;
@@ -59,7 +59,7 @@
   };
   for (const Case& k : cases) {
     SCOPED_TRACE(k.more);
-    const SettingsResult c = parse(kLeast + k.more, "f.toml");
+    const SettingsResult c = parse(kMinimalSettings + k.more, "f.toml");
     EXPECT_FALSE(c.settings);
     ASSERT_FALSE(c.problems.empty());
     const bool named = std::any_of(c.problems.begin(), c.problems.end(), [&](const Problem& p) {
@@ -69,46 +69,48 @@
   }
 }
 
-TEST(Settings, AllErrorsAreSaidAtOnce) {
-  const SettingsResult c = parse(kLeast + "[bounds]\nopen_calls = -1\nattempts = 0\nprobes = 3\n", "f.toml");
+TEST(Settings, ReportsAllErrorsAtOnce) {
+  const SettingsResult c =
+      parse(kMinimalSettings + "[bounds]\nopen_calls = -1\nattempts = 0\nprobes = 3\n", "f.toml");
   EXPECT_EQ(c.problems.size(), 3U);
   EXPECT_EQ(c.problems[0].to_string().rfind("f.toml:10: bounds.open_calls: expected", 0), 0U)
       << c.problems[0].to_string();
 }
 
-TEST(Settings, BareCharactersBeyondAsciiAreRefused) {
+TEST(Settings, RejectsUnquotedNonAscii) {
   const SettingsResult c = parse(
       "# caf\xc3\xa9\n\xce\xb6"
       "6 = 1\n",
       "f.toml");
   ASSERT_EQ(c.problems.size(), 1U);
   EXPECT_EQ(c.problems[0].line, 2U);
-  EXPECT_TRUE(parse(kLeast + "[[tenant]]\nname = \"T\xc3\xa9ma\"\n", "f").settings);
+  EXPECT_TRUE(parse(kMinimalSettings + "[[tenant]]\nname = \"T\xc3\xa9ma\"\n", "f").settings);
 }
 
-TEST(Settings, ListIsAServiceOrAFile) {
-  std::string both = kLeast;
+TEST(Settings, WorkerListNeedsExactlyOneSource) {
+  std::string both = kMinimalSettings;
   both.insert(both.find("file"), "service = \"127.0.0.1:7000\"\n");
   EXPECT_FALSE(parse(both, "f").settings);
   EXPECT_FALSE(parse("[[class]]\nname=\"a\"\n[[function]]\nname=\"f\"\nclass=\"a\"\n", "f").settings);
 }
 
-TEST(Settings, FunctionIdsComeFromNamesAlone) {
+TEST(Settings, FunctionIdDependsOnTheNameAlone) {
   EXPECT_EQ(function_id("echo"), function_id("echo"));
   EXPECT_NE(function_id("echo"), function_id("echo2"));
   EXPECT_LT(static_cast<std::uint64_t>(function_id("x")), 1ULL << 40);
 }
 
-TEST(Settings, WhatNeedsARestartIsNamed) {
-  const Settings a = *parse(kLeast, "f").settings;
+TEST(Settings, NamesChangedKeysThatNeedARestart) {
+  const Settings a = *parse(kMinimalSettings, "f").settings;
   const Settings b =
-      *parse(kLeast + "[bounds]\nattempts = 2\n[[function]]\nname = \"f\"\nclass = \"read\"\n", "f").settings;
+      *parse(kMinimalSettings + "[bounds]\nattempts = 2\n[[function]]\nname = \"f\"\nclass = \"read\"\n", "f")
+           .settings;
   EXPECT_EQ(needs_restart(a, b), std::vector<std::string>{"bounds"});
   EXPECT_TRUE(needs_restart(a, a).empty());
 }
 
 // Found by fuzzing: the library reads past its tables on such a key (fuzz/seeds/config).
-TEST(Settings, BareKeysBeyondAsciiAreRefusedBeforeTheLibrarySeesThem) {
+TEST(Settings, RejectsNonAsciiBareKeysBeforeParsing) {
   const SettingsResult checked = parse(
       "[gateway]\n\xce\xb6"
       "6 = 1\n",
--- a/tests/front/front_test.cpp
+++ b/tests/front/front_test.cpp
@@ -1,4 +1,4 @@
-// The platform's clients: their messages, and what each of their ways to misbehave gets.
+// Tests the protocol towards the platform's clients: messages, and the handling of misbehaving clients.
 #include <gtest/gtest.h>
 
 #include "front/server.h"
@@ -16,7 +16,7 @@
   return PlatformClient::call_bytes(number, fields, body).substr(4);
 }
 
-TEST(FrontMessage, ReadsACallOfAHandWrittenClient) {
+TEST(FrontMessage, ParsesCallOfAnIndependentEncoder) {
   const std::string body("any\0bytes", 9);
   const Parsed p = parse(frame_of(7, {{"op", "read"}, {"call", "1"}}, body));
   ASSERT_EQ(p.kind, Parsed::Kind::kRequest) << p.why;
@@ -25,29 +25,30 @@
   EXPECT_EQ(p.request.body, body);
 }
 
-TEST(FrontMessage, NoCutIsARequest) {
+TEST(FrontMessage, RejectsTruncatedAndExtendedMessages) {
   const std::string whole = frame_of(7, {{"op", "read"}, {"call", "1"}}, "body");
   for (std::size_t n = 0; n < whole.size(); ++n)
     EXPECT_NE(parse(std::string_view(whole).substr(0, n)).kind, Parsed::Kind::kRequest) << n;
   EXPECT_EQ(parse(whole + "x").kind, Parsed::Kind::kInvalid);
 }
 
-TEST(FrontMessage, LengthsWithinThatLieAreBad) {
+TEST(FrontMessage, SurvivesFalseInnerLengths) {
   const std::string whole = frame_of(7, {{"op", "read"}}, "body");
   for (std::size_t at = 0; at + 4 <= whole.size(); ++at)
     for (const char* lie : {"\xff\xff\xff\xff", "\x7f\xff\xff\xff", "\x80\x00\x00\x01"}) {
       std::string bad = whole;
       bad.replace(at, 4, lie, 4);
-      static_cast<void>(parse(bad));  // whatever it says: no throw, no allocation of that size
+      static_cast<void>(parse(bad));  // any result will do, but no throw and no allocation of that size
     }
-  std::string old = whole;  // not strict: the version is missing
+  std::string old = whole;  // non-strict encoding without a version
   old.replace(0, 4, std::string("\0\0\0\4", 4));
   EXPECT_EQ(parse(old).kind, Parsed::Kind::kBad);
 }
 
-TEST(FrontMessage, BoundsOfBodyAndFields) {
+TEST(FrontMessage, LimitsBodyAndFields) {
   EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMaxBodyBytes, 'x'))).kind, Parsed::Kind::kRequest);
-  EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMaxBodyBytes + 1, 'x'))).kind, Parsed::Kind::kInvalid);
+  EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMaxBodyBytes + 1, 'x'))).kind,
+            Parsed::Kind::kInvalid);
   Fields many;
   for (int i = 0; i < 100; ++i) many[std::to_string(i)] = "x";
   EXPECT_EQ(parse(frame_of(1, many, "")).kind, Parsed::Kind::kInvalid);
@@ -64,14 +65,14 @@
   }();
   Server server{net, options, *this};
   std::vector<std::pair<Server::Ticket, Fields>> calls;
-  std::vector<Server::Ticket> gone;
-  int oddities = 0;
+  std::vector<Server::Ticket> abandoned;
+  int anomalies = 0;
 
   void SetUp() override { ASSERT_TRUE(server.listen(kAt)); }
   void on_call(Server::Ticket t, Fields f, std::string) override { calls.emplace_back(t, std::move(f)); }
-  void on_gone(Server::Ticket t) override { gone.push_back(t); }
+  void on_gone(Server::Ticket t) override { abandoned.push_back(t); }
   bool healthy() override { return true; }
-  void on_anomaly(const std::string&) override { ++oddities; }
+  void on_anomaly(const std::string&) override { ++anomalies; }
 
   void serve(std::size_t i) {
     Reply r;
@@ -86,7 +87,7 @@
   }
 };
 
-TEST_F(FrontTest, AnswersInAnyOrderEachUnderItsNumber) {
+TEST_F(FrontTest, AnswersInAnyOrderWithMatchingNumbers) {
   PlatformClient client(net, kAt);
   client.health();
   client.call({{"n", "2"}}, ""), client.call({{"n", "3"}}, ""), client.call({{"n", "4"}}, "");
@@ -107,7 +108,7 @@
   EXPECT_EQ(server.open_calls(), 0U);
 }
 
-TEST_F(FrontTest, LengthsOverTheBoundEndTheConnectionAtTheirHead) {
+TEST_F(FrontTest, ClosesConnectionOnExcessiveFrameLength) {
   for (const char* head : {"\xff\xff\xff\xff", "\x80\x00\x00\x00", "\x03\x93\x87\x00", "\x7f\xff\xff\xff"}) {
     PlatformClient client(net, kAt);
     client.raw(std::string_view(head, 4));
@@ -118,7 +119,7 @@
   EXPECT_EQ(server.connections(), 0U);
 }
 
-TEST_F(FrontTest, OpenCallsOfAConnectionThatEndsAreToldTheTruth) {
+TEST_F(FrontTest, FailsOpenCallsWhenItClosesAConnection) {
   PlatformClient client(net, kAt);
   client.call({{"n", "1"}}, "");
   net.run_for(20ms);
@@ -126,13 +127,13 @@
   net.run_for(20ms);
   EXPECT_EQ(kinds(client, 1), "failed");
   EXPECT_TRUE(client.closed());
-  ASSERT_EQ(gone.size(), 1U);  // nobody waits for it any more
+  ASSERT_EQ(abandoned.size(), 1U);  // reported once
   serve(0);
   net.run_for(20ms);
   EXPECT_EQ(kinds(client, 1), "failed");
 }
 
-TEST_F(FrontTest, ASequenceNumberTwiceGetsNoSecondAnswer) {
+TEST_F(FrontTest, ClosesConnectionOnReusedSequenceNumber) {
   PlatformClient client(net, kAt);
   client.raw(PlatformClient::call_bytes(5, {{"n", "a"}}, "") +
              PlatformClient::call_bytes(5, {{"n", "b"}}, "x"));
@@ -140,7 +141,7 @@
   EXPECT_EQ(calls.size(), 1U);
   EXPECT_EQ(kinds(client, 5), "failed");
   EXPECT_TRUE(client.closed());
-  PlatformClient later(net, kAt);  // and one that was answered before
+  PlatformClient later(net, kAt);  // a number whose call was already answered
   later.raw(PlatformClient::call_bytes(5, {{"n", "a"}}, ""));
   net.run_for(20ms);
   serve(1);
@@ -152,7 +153,7 @@
   EXPECT_EQ(kinds(later, 5).substr(0, 6), "served");
 }
 
-TEST_F(FrontTest, OverTheBoundOfOpenCallsIsRefused) {
+TEST_F(FrontTest, RefusesCallsOverTheOpenCallLimit) {
   PlatformClient client(net, kAt);
   for (int i = 0; i < 40; ++i) client.call({{"n", "x"}}, "");
   net.run_for(20ms);
@@ -161,19 +162,19 @@
   EXPECT_TRUE(client.open());
 }
 
-TEST_F(FrontTest, ACancelledCallIsOwedNothing) {
+TEST_F(FrontTest, CancelledCallGetsNoReply) {
   PlatformClient client(net, kAt);
   const auto n = client.call({{"n", "x"}}, "");
   client.cancel(n), client.cancel(n), client.cancel(999);
   net.run_for(20ms);
-  EXPECT_EQ(gone.size(), 1U);
+  EXPECT_EQ(abandoned.size(), 1U);
   serve(0);
   net.run_for(20ms);
   EXPECT_TRUE(client.replies().empty());
   EXPECT_TRUE(client.open());
 }
 
-TEST_F(FrontTest, CancelsByTheHundredEndTheConnection) {
+TEST_F(FrontTest, ClosesConnectionOnTooManyCancels) {
   PlatformClient client(net, kAt);
   for (int i = 0; i < 300; ++i) client.cancel(client.call({{"n", "x"}}, ""));
   net.run_for(20ms);
@@ -181,7 +182,7 @@
   EXPECT_EQ(server.open_calls(), 0U);
 }
 
-TEST_F(FrontTest, SilentAndHalfSpokenConnectionsEndInTime) {
+TEST_F(FrontTest, ClosesConnectionsWithoutDataOrWithPartialFrames) {
   PlatformClient silent(net, kAt), half(net, kAt), idle(net, kAt);
   half.raw(PlatformClient::call_bytes(1, {{"n", "x"}}, "body").substr(0, 30));
   idle.call({{"n", "x"}}, "");
@@ -190,19 +191,19 @@
   net.run_for(2800ms);
   EXPECT_TRUE(silent.closed());
   EXPECT_TRUE(half.closed());
-  EXPECT_TRUE(idle.open());  // in order, and silent since its answer
+  EXPECT_TRUE(idle.open());  // idle after its answer
   net.run_for(60s);
   EXPECT_TRUE(idle.open());
 }
 
-TEST_F(FrontTest, ACallInManyPiecesThatKeepComingIsACall) {
+TEST_F(FrontTest, AcceptsCallSentByteByByte) {
   PlatformClient client(net, kAt);
   const std::string bytes = PlatformClient::call_bytes(1, {{"n", "x"}}, std::string(50, 'x'));
   for (const char c : bytes) client.raw({&c, 1}), net.run_for(10ms);
   EXPECT_EQ(calls.size(), 1U);
 }
 
-TEST_F(FrontTest, MessagesThatAreNoneOfOursGetAnExceptionAndTheRestGoesOn) {
+TEST_F(FrontTest, InvalidRequestsGetAnExceptionAndTheConnectionStays) {
   PlatformClient client(net, kAt);
   std::string other = PlatformClient::call_bytes(1, {}, "");
   other.replace(12, 4, "tell");
@@ -216,14 +217,14 @@
   EXPECT_TRUE(client.open());
 }
 
-TEST_F(FrontTest, AtTheBoundTheLongestSilentConnectionGoes) {
+TEST_F(FrontTest, ClosesLongestIdleConnectionAtTheLimit) {
   std::vector<std::unique_ptr<PlatformClient>> all;
   for (int i = 0; i < 8; ++i) {
     all.push_back(std::make_unique<PlatformClient>(net, kAt));
     if (i != 3) all.back()->call({{"n", "x"}}, "");
     net.run_for(10ms);
   }
-  serve(0);  // the first is idle; the fourth never said anything
+  serve(0);  // the first is idle; the fourth never sent data
   PlatformClient more(net, kAt);
   more.call({{"n", "y"}}, "");
   net.run_for(20ms);
@@ -234,20 +235,20 @@
   net.run_for(20ms);
   EXPECT_TRUE(all[0]->closed());
   EXPECT_TRUE(another.open());
-  PlatformClient none(net, kAt);  // all have something open
+  PlatformClient none(net, kAt);  // all have open calls
   none.call({{"n", "y"}}, "");
   net.run_for(20ms);
   EXPECT_TRUE(none.closed());
   EXPECT_EQ(server.connections(), 8U);
 }
 
-TEST_F(FrontTest, AClientThatHangsUpIsOwedNothing) {
+TEST_F(FrontTest, AbandonsCallsOfAClientThatDisconnects) {
   auto client = std::make_unique<PlatformClient>(net, kAt);
   client->call({{"n", "x"}}, "");
   net.run_for(20ms);
   client->hang_up();
   net.run_for(20ms);
-  EXPECT_EQ(gone.size(), 1U);
+  EXPECT_EQ(abandoned.size(), 1U);
   EXPECT_EQ(server.open_calls(), 0U);
   EXPECT_EQ(server.connections(), 0U);
 }
