--- a/src/front/server.h
+++ b/src/front/server.h
@@ -12,7 +12,8 @@
 //   no byte within `first_byte_timeout`, or a partial frame for `frame_timeout`: as for an unparsable message
 // Above `max_connections`, the connection that has been idle longest without open calls is closed; if all
 // have open calls, the new one is rejected. A client that does not read its answers is disconnected once
-// `max_unsent_bytes` are pending.
+// `max_unsent_bytes`
+// are pending.
 //
 // A client that closes its side counts as gone, even if it closed only its sending half: its earlier requests
 // are delivered first, then reported as abandoned.
