--- a/src/front/server.h
+++ b/src/front/server.h
@@ -2,17 +2,17 @@
 //
 // Handling of clients that misbehave or exceed a limit:
 //   a frame length that is negative or over kMaxFrameBytes, an unparsable message, a sequence number that
-//   does
-//     not increase, more than `max_cancels_per_second` cancels: an application exception; the open calls of
-//     the connection are answered as failed and abandoned, the connection is closed, and no more input is
-//     read
+//     does not increase, more than `max_cancels_per_second` cancels: an application exception.
+//     The open calls of the connection are answered as failed and reported as abandoned.
+//     The connection is closed.
+//     No more of its input is read.
 //   a complete message that is not a valid request, or exceeds an inner limit: an application exception; the
 //     connection stays open
 //   more than `max_open_calls` open calls on a connection: refused
 //   no byte within `first_byte_timeout`, or a partial frame for `frame_timeout`: as for an unparsable message
 // Above `max_connections`, the connection that has been idle longest without open calls is closed; if all
-// have open calls, the new one is rejected. A client that does not read its answers is disconnected once
-// `max_unsent_bytes`
+// have open calls, the new one is rejected.
+// A client that does not read its answers is disconnected once `max_unsent_bytes`
 // are pending.
 //
 // A client that closes its side counts as gone, even if it closed only its sending half: its earlier requests
--- a/src/worker/worker_link.h
+++ b/src/worker/worker_link.h
@@ -51,8 +51,8 @@
   // The link sets `call.id`. The body is sent at once, or copied and kept only until the connection is ready.
   virtual void call(Call call, std::string_view body, std::uint64_t cookie) = 0;
   virtual void cancel(std::uint64_t cookie) = 0;  // the call still ends through on_call_end
-  // The call is no longer wanted. If it has not been handed to the transport it is never sent and ends as
-  // kNotRun; otherwise it stays in flight. The worker is not notified.
+  // The call is no longer wanted, whether or not the worker could be notified. If it has not been handed to
+  // the transport it is never sent and ends as kNotRun; otherwise it stays in flight.
   virtual void withdraw(std::uint64_t cookie) = 0;
   // Withdraws everything queued, because the worker is leaving. Holds and probes end as kFull.
   virtual void withdraw_waiting() = 0;
