--- a/src/worker/protocol.h
+++ b/src/worker/protocol.h
@@ -81,8 +81,7 @@
   std::uint64_t id = 0;
   AnswerKind kind = AnswerKind::kOk;
   FoundKind found = FoundKind::kNotReported;
-  std::uint8_t others_in_flight =
-      kOthersNotReported;  // calls of the function in flight on arrival
+  std::uint8_t others_in_flight = kOthersNotReported;  // calls of the function in flight on arrival
   Report report;
   std::string reason;
   std::string body;
