--- a/src/amqp/codec.cpp
+++ b/src/amqp/codec.cpp
@@ -6,51 +6,52 @@
 namespace {
 
 constexpr char kFrameEnd = '\xCE';
-constexpr std::size_t kHeaderSize = 7;
+constexpr std::size_t kFrameHeaderBytes = 7;
 
-// Fields in wire order; a run of bits shares octets, low bit first.
+// Reads the fields of a method in wire order. Consecutive bits share octets, low bit first (4.2.5.2).
 class FieldReader {
  public:
   explicit FieldReader(Reader& in) : in_(in) {}
-  void operator()(auto&... fields) { (one(fields), ...); }
+  void operator()(auto&... fields) { (read_field(fields), ...); }
 
  private:
-  void one(bool& v) {
+  void read_field(bool& v) {
     if (bit_ == 0 || bit_ == 8) octet_ = in_.u8(), bit_ = 0;
     v = octet_ >> bit_++ & 1;
   }
-  void one(std::uint8_t& v) { v = in_.u8(), bit_ = 0; }
-  void one(std::uint16_t& v) { v = in_.u16(), bit_ = 0; }
-  void one(std::uint32_t& v) { v = in_.u32(), bit_ = 0; }
-  void one(std::uint64_t& v) { v = in_.u64(), bit_ = 0; }
-  void one(std::string& v) { v = read_short(in_), bit_ = 0; }
-  void one(LongString& v) { v.text = in_.take(in_.u32()), bit_ = 0; }
-  void one(Table& v) { v = read_table(in_), bit_ = 0; }
+  void read_field(std::uint8_t& v) { v = in_.u8(), bit_ = 0; }
+  void read_field(std::uint16_t& v) { v = in_.u16(), bit_ = 0; }
+  void read_field(std::uint32_t& v) { v = in_.u32(), bit_ = 0; }
+  void read_field(std::uint64_t& v) { v = in_.u64(), bit_ = 0; }
+  void read_field(std::string& v) { v = read_short(in_), bit_ = 0; }
+  void read_field(LongString& v) { v.text = in_.take(in_.u32()), bit_ = 0; }
+  void read_field(Table& v) { v = read_table(in_), bit_ = 0; }
 
   Reader& in_;
   std::uint8_t octet_ = 0;
   int bit_ = 0;
 };
 
+// Writes the fields of a method as FieldReader reads them.
 class FieldWriter {
  public:
   explicit FieldWriter(Writer& out) : out_(out) {}
-  void operator()(const auto&... fields) { (one(fields), ...), flush(); }
+  void operator()(const auto&... fields) { (write_field(fields), ...), flush(); }
 
  private:
-  void one(bool v) {
+  void write_field(bool v) {
     if (bit_ == 8) flush();
     octet_ = static_cast<std::uint8_t>(octet_ | (v ? 1 : 0) << bit_++);
   }
-  void one(std::uint8_t v) { flush(), out_.u8(v); }
-  void one(std::uint16_t v) { flush(), out_.u16(v); }
-  void one(std::uint32_t v) { flush(), out_.u32(v); }
-  void one(std::uint64_t v) { flush(), out_.u64(v); }
-  void one(const std::string& v) { flush(), write_short(out_, v); }
-  void one(const LongString& v) {
+  void write_field(std::uint8_t v) { flush(), out_.u8(v); }
+  void write_field(std::uint16_t v) { flush(), out_.u16(v); }
+  void write_field(std::uint32_t v) { flush(), out_.u32(v); }
+  void write_field(std::uint64_t v) { flush(), out_.u64(v); }
+  void write_field(const std::string& v) { flush(), write_short(out_, v); }
+  void write_field(const LongString& v) {
     flush(), out_.u32(static_cast<std::uint32_t>(v.text.size())), out_.bytes(v.text);
   }
-  void one(const Table& v) { flush(), write_table(out_, v); }
+  void write_field(const Table& v) { flush(), write_table(out_, v); }
   void flush() {
     if (bit_ > 0) out_.u8(octet_);
     octet_ = 0, bit_ = 0;
@@ -66,7 +67,7 @@
   if (M::kClass != result.class_id || M::kMethod != result.method_id) return false;
   M method;
   method.fields(FieldReader(in));
-  // Left-over bytes are as wrong as missing ones: the peer and we read different fields.
+  // Trailing bytes are an error like missing ones: they mean that the peer's fields differ from ours.
   if (in.done())
     result.method = std::move(method);
   else
@@ -79,8 +80,8 @@
   if (!(read_as<M>(result, in) || ...)) result.code = ReplyCode::kNotImplemented;
 }
 
-// The property flags, high bit first, in the order of the specification. Bit 0 says that more flags follow;
-// class basic has 14 properties, so no second flag word is known.
+// Visits each property with its bit in the flags word, in the order of the specification. Bit 0 announces
+// another flags word, which class basic with its 14 properties does not have.
 template <class P>
 void each_property(P& p, auto&& visit) {
   visit(15, p.content_type), visit(14, p.content_encoding), visit(13, p.headers), visit(12, p.delivery_mode);
@@ -98,7 +99,7 @@
   if (type != FrameType::kMethod && type != FrameType::kHeader && type != FrameType::kBody &&
       type != FrameType::kHeartbeat)
     return {Kind::kInvalid, {}, 0, "unknown frame type"};
-  if (bytes.size() < kHeaderSize) return {};
+  if (bytes.size() < kFrameHeaderBytes) return {};
   Reader in(bytes.substr(1, 6));
   const std::uint16_t channel = in.u16();
   const std::size_t size = in.u32();
@@ -107,9 +108,9 @@
   if (type == FrameType::kHeartbeat && (size > 0 || channel != 0))
     return {Kind::kInvalid, {}, 0, "heartbeat with a payload or a channel"};
   if (bytes.size() < size + kFrameOverhead) return {};
-  if (bytes[kHeaderSize + size] != kFrameEnd)
+  if (bytes[kFrameHeaderBytes + size] != kFrameEnd)
     return {Kind::kInvalid, {}, 0, "no frame end where the length says"};
-  return {Kind::kFrame, {type, channel, bytes.substr(kHeaderSize, size)}, size + kFrameOverhead, {}};
+  return {Kind::kFrame, {type, channel, bytes.substr(kFrameHeaderBytes, size)}, size + kFrameOverhead, {}};
 }
 
 void write_frame(std::string& out, FrameType type, std::uint16_t channel, std::string_view payload) {
@@ -142,7 +143,7 @@
       [&](const auto& m) {
         w.u16(m.kClass);
         w.u16(m.kMethod);
-        auto& fields = const_cast<std::remove_cvref_t<decltype(m)>&>(m);  // the writer only looks
+        auto& fields = const_cast<std::remove_cvref_t<decltype(m)>&>(m);  // FieldWriter changes nothing
         fields.fields(FieldWriter(w));
       },
       method);
@@ -228,9 +229,9 @@
                    const Properties& properties, std::string_view body, std::uint32_t frame_max) {
   write_method(out, channel, method);
   write_content_header(out, channel, {60, body.size(), properties});
-  const std::size_t piece = frame_max > 0 ? frame_max - kFrameOverhead : body.size();
-  for (std::size_t at = 0; at < body.size(); at += piece)
-    write_frame(out, FrameType::kBody, channel, body.substr(at, piece));
+  const std::size_t payload_bytes = frame_max > 0 ? frame_max - kFrameOverhead : body.size();
+  for (std::size_t offset = 0; offset < body.size(); offset += payload_bytes)
+    write_frame(out, FrameType::kBody, channel, body.substr(offset, payload_bytes));
 }
 
 }  // namespace laureltide::amqp
--- a/src/amqp/codec.h
+++ b/src/amqp/codec.h
@@ -1,4 +1,5 @@
-// AMQP 0-9-1 frames, methods and content headers as bytes (2.3.5, 4.2). No state beyond the bytes given.
+// Parses and writes AMQP 0-9-1 frames, methods and content headers (2.3.5, 4.2). Stateless. Section numbers
+// refer to the AMQP 0-9-1 specification.
 #pragma once
 
 #include <optional>
@@ -10,8 +11,8 @@
 namespace laureltide::amqp {
 
 inline constexpr std::string_view kProtocolHeader{"AMQP\x00\x00\x09\x01", 8};
-inline constexpr std::uint32_t kMinFrameMax = 4096;  // 4.2.3: every peer takes frames of this size
-inline constexpr std::size_t kFrameOverhead = 8;     // header of 7 and the end octet
+inline constexpr std::uint32_t kMinFrameMax = 4096;  // 4.2.3: every peer must accept frames of this size
+inline constexpr std::size_t kFrameOverhead = 8;     // 7 bytes of header and the frame-end octet
 
 enum class FrameType : std::uint8_t { kMethod = 1, kHeader = 2, kBody = 3, kHeartbeat = 8 };
 
@@ -41,30 +42,31 @@
 struct Frame {
   FrameType type = FrameType::kMethod;
   std::uint16_t channel = 0;
-  std::string_view payload;  // into the bytes that were parsed
+  std::string_view payload;  // points into the parsed bytes
 };
 
 struct FrameResult {
   enum class Kind { kFrame, kNeedMore, kInvalid } kind = Kind::kNeedMore;
   Frame frame;
-  std::size_t size = 0;  // bytes of the frame, when there is one
-  std::string_view why;  // when bad: always reply code 501
+  std::size_t size = 0;  // of the whole frame, for kFrame
+  std::string_view why;  // for kInvalid, whose reply code is always 501
 };
 
-// The first frame of `bytes`. A frame over `frame_max` (0: no limit) is bad as soon as its header shows it.
+// Parses the first frame of `bytes`. A frame over `frame_max` (0: no limit) is invalid as soon as its header
+// is there.
 FrameResult parse_frame(std::string_view bytes, std::uint32_t frame_max);
 void write_frame(std::string& out, FrameType type, std::uint16_t channel, std::string_view payload);
 
 struct MethodResult {
   std::optional<Method> method;
-  ReplyCode code = ReplyCode::kSuccess;  // why there is none: 540 unknown, 502 malformed
+  ReplyCode code = ReplyCode::kSuccess;  // if there is no method: 540 unknown, 502 malformed
   std::uint16_t class_id = 0, method_id = 0;
 };
 MethodResult parse_method(std::string_view payload);
 void write_method(std::string& out, std::uint16_t channel, const Method& method);
-const char* name_of(const Method& method);
+const char* name_of(const Method& method);  // "basic.publish"
 
-// Properties of class basic (1.8.2), absent where not set.
+// The properties of class basic (1.8.2).
 struct Properties {
   std::optional<std::string> content_type, content_encoding;
   std::optional<Table> headers;
@@ -76,7 +78,7 @@
 };
 
 struct ContentHeader {
-  std::uint16_t class_id = 60;
+  std::uint16_t class_id = 60;  // basic
   std::uint64_t body_size = 0;
   Properties properties;
 };
@@ -86,10 +88,10 @@
 struct Content {
   Properties properties;
   std::string body;
-  std::uint64_t body_size = 0;  // as sent; over body.size() where the receiver keeps no more
+  std::uint64_t body_size = 0;  // as sent; more than body.size() if the receiver has truncated the body
 };
 
-// The method with its content, the body cut into frames of `frame_max`.
+// Writes the method, its content header and its body, split into frames of at most `frame_max` bytes.
 void write_content(std::string& out, std::uint16_t channel, const Method& method,
                    const Properties& properties, std::string_view body, std::uint32_t frame_max);
 
--- a/src/amqp/endpoint.cpp
+++ b/src/amqp/endpoint.cpp
@@ -5,16 +5,16 @@
 namespace laureltide::amqp {
 namespace {
 
-constexpr std::size_t kFlushAt = 64U << 10;  // gathered bytes that leave even within one input
+constexpr std::size_t kFlushThreshold = 64U << 10;  // collected bytes that are sent even within on_bytes()
 
 bool carries_content(const Method& m) {
   return std::holds_alternative<BasicPublish>(m) || std::holds_alternative<BasicDeliver>(m) ||
          std::holds_alternative<BasicReturn>(m) || std::holds_alternative<BasicGetOk>(m);
 }
 
-// 0 means "no limit" in tuning (1.4.2.6): the smaller of two limits that are set.
+// The stricter of two tuning limits, where 0 means "no limit" (1.4.2.6).
 template <class T>
-T lesser(T a, T b) {
+T stricter_limit(T a, T b) {
   if (a == 0 || b == 0) return std::max(a, b);
   return std::min(a, b);
 }
@@ -24,27 +24,27 @@
 Endpoint::Endpoint(io::Host& host, Role role, EndpointOptions options, EndpointEvents& events)
     : host_(host), role_(role), options_(std::move(options)), events_(events) {
   options_.frame_max = std::max(options_.frame_max, kMinFrameMax);
-  patience_ = host.timer(
-      [this] { ended(state_ == State::kClosing ? close_reason_ : "no handshake within its time"); });
-  heartbeat_ = host.timer([this] { beat(); });
+  timeout_timer_ =
+      host.timer([this] { end(state_ == State::kClosing ? close_reason_ : "handshake timed out"); });
+  heartbeat_timer_ = host.timer([this] { on_heartbeat_timer(); });
 }
 Endpoint::~Endpoint() = default;
 
 void Endpoint::on_open() {
-  heard_ = sent_ = host_.now();
-  patience_->start(options_.handshake_timeout);
-  state_ = role_ == Role::kClient ? State::kStart : State::kProtocol;
+  last_received_ = last_sent_ = host_.now();
+  timeout_timer_->start(options_.handshake_timeout);
+  state_ = role_ == Role::kClient ? State::kStart : State::kAwaitHeader;
   if (role_ == Role::kClient) connection_->write(kProtocolHeader);
 }
 
 std::size_t Endpoint::on_bytes(std::string_view bytes) {
-  heard_ = host_.now();
+  last_received_ = host_.now();
   std::size_t used = 0;
-  if (state_ == State::kProtocol) {
+  if (state_ == State::kAwaitHeader) {
     if (bytes.size() < kProtocolHeader.size() && kProtocolHeader.starts_with(bytes)) return 0;
-    if (!bytes.starts_with(kProtocolHeader)) {  // 4.2.2: answer with the version that is spoken here, close
+    if (!bytes.starts_with(kProtocolHeader)) {  // 4.2.2: answer with the supported version and close
       connection_->write(kProtocolHeader);
-      ended("not an AMQP 0-9-1 client");
+      end("not an AMQP 0-9-1 client");
       return bytes.size();
     }
     used = kProtocolHeader.size();
@@ -58,7 +58,7 @@
     if (r.kind == FrameResult::Kind::kNeedMore) break;
     if (r.kind == FrameResult::Kind::kInvalid) {
       if (role_ == Role::kClient && state_ == State::kStart && bytes.starts_with("AMQP"))
-        ended("the broker speaks another version of AMQP");
+        end("the broker speaks another version of AMQP");
       else
         connection_error(ReplyCode::kFrameError, std::string(r.why));
       used = bytes.size();
@@ -74,7 +74,7 @@
 
 void Endpoint::flush() {
   if (out_.empty()) return;
-  if (connection_ && state_ != State::kEnded) connection_->write(out_), sent_ = host_.now();
+  if (connection_ && state_ != State::kEnded) connection_->write(out_), last_sent_ = host_.now();
   out_.clear();
 }
 
@@ -117,10 +117,10 @@
   if (const auto* m = std::get_if<ConnectionClose>(&method)) {
     send(0, ConnectionCloseOk{});
     flush();
-    return ended(std::to_string(m->reply_code) + " " + m->reply_text);
+    return end(std::to_string(m->reply_code) + " " + m->reply_text);
   }
   if (std::holds_alternative<ConnectionCloseOk>(method)) {
-    if (state_ == State::kClosing) return ended(close_reason_);
+    if (state_ == State::kClosing) return end(close_reason_);
     return connection_error(ReplyCode::kCommandInvalid, "close-ok without close");
   }
   if (state_ == State::kClosing) return;
@@ -135,23 +135,23 @@
     if (const auto* m = std::get_if<ConnectionStart>(&method); m && state_ == State::kStart) {
       peer_properties_ = m->server_properties;
       if ((" " + m->mechanisms.text + " ").find(" PLAIN ") == std::string::npos)
-        return ended("the broker offers no PLAIN login: " + m->mechanisms.text);
+        return end("the broker offers no PLAIN login: " + m->mechanisms.text);
       state_ = State::kTune;
       const std::string response =
           std::string(1, '\0') + options_.user + std::string(1, '\0') + options_.password;
       return send(0, ConnectionStartOk{options_.properties, "PLAIN", {response}, "en_US"});
     }
     if (const auto* m = std::get_if<ConnectionTune>(&method); m && state_ == State::kTune) {
-      channel_max_ = lesser(m->channel_max, options_.channel_max);
-      frame_max_ = std::max(lesser(m->frame_max, options_.frame_max), kMinFrameMax);
-      heartbeat_s_ = lesser(m->heartbeat, options_.heartbeat_s);
+      channel_max_ = stricter_limit(m->channel_max, options_.channel_max);
+      frame_max_ = std::max(stricter_limit(m->frame_max, options_.frame_max), kMinFrameMax);
+      heartbeat_s_ = stricter_limit(m->heartbeat, options_.heartbeat_s);
       state_ = State::kOpening;
       send(0, ConnectionTuneOk{channel_max_, frame_max_, heartbeat_s_});
       return send(0, ConnectionOpen{options_.vhost, "", false});
     }
     if (std::holds_alternative<ConnectionOpenOk>(method) && state_ == State::kOpening) {
       state_ = State::kOpen;
-      patience_->stop();
+      timeout_timer_->stop();
       start_heartbeats();
       return events_.on_ready();
     }
@@ -161,18 +161,19 @@
       const std::string& r = m->response.text;
       const std::size_t first = r.find('\0');
       const std::size_t second = first == std::string::npos ? first : r.find('\0', first + 1);
-      const bool well = m->mechanism == "PLAIN" && second != std::string::npos;
-      if (!well || !events_.may_log_in(r.substr(first + 1, second - first - 1), r.substr(second + 1)))
+      const bool well_formed = m->mechanism == "PLAIN" && second != std::string::npos;
+      if (!well_formed || !events_.may_log_in(r.substr(first + 1, second - first - 1), r.substr(second + 1)))
         return connection_error(ReplyCode::kAccessRefused, "login refused", 10, 11);
       state_ = State::kTune;
       frame_max_ = options_.frame_max;
       return send(0, ConnectionTune{options_.channel_max, options_.frame_max, options_.heartbeat_s});
     }
     if (const auto* m = std::get_if<ConnectionTuneOk>(&method); m && state_ == State::kTune) {
-      const bool over =
+      const bool exceeds_offer =
           m->frame_max == 0 || m->frame_max > options_.frame_max || m->frame_max < kMinFrameMax ||
           (options_.channel_max > 0 && (m->channel_max == 0 || m->channel_max > options_.channel_max));
-      if (over) return connection_error(ReplyCode::kNotAllowed, "tune-ok over what was offered", 10, 31);
+      if (exceeds_offer)
+        return connection_error(ReplyCode::kNotAllowed, "tune-ok over what was offered", 10, 31);
       channel_max_ = m->channel_max;
       frame_max_ = m->frame_max;
       heartbeat_s_ = m->heartbeat;
@@ -183,7 +184,7 @@
       if (!events_.may_open(m->virtual_host))
         return connection_error(ReplyCode::kNotAllowed, "no such virtual host: " + m->virtual_host, 10, 40);
       state_ = State::kOpen;
-      patience_->stop();
+      timeout_timer_->stop();
       start_heartbeats();
       send(0, ConnectionOpenOk{});
       return events_.on_ready();
@@ -195,10 +196,10 @@
 void Endpoint::on_channel_method(std::uint16_t number, Channel& channel, const Method& method) {
   if (const auto* m = std::get_if<ChannelClose>(&method)) {
     const auto [code, text] = std::pair(m->reply_code, m->reply_text);
-    const bool ours = channel.closing;
+    const bool closed_by_us = channel.closing;
     channels_.erase(number);
     send(number, ChannelCloseOk{});
-    if (!ours) events_.on_channel_closed(number, code, text);
+    if (!closed_by_us) events_.on_channel_closed(number, code, text);
     return;
   }
   if (std::holds_alternative<ChannelCloseOk>(method)) return void(channels_.erase(number));
@@ -233,9 +234,9 @@
     channel.received += frame.payload.size();
     if (channel.received > channel.header->body_size)
       return connection_error(ReplyCode::kFrameError, "more body than its header says");
-    const std::uint64_t room =
+    const std::uint64_t remaining =
         options_.max_body_bytes - std::min<std::uint64_t>(options_.max_body_bytes, channel.body.size());
-    channel.body.append(frame.payload.substr(0, room));
+    channel.body.append(frame.payload.substr(0, remaining));
   }
   if (channel.received == channel.header->body_size) finish_content(number, channel);
 }
@@ -269,14 +270,14 @@
 void Endpoint::send(std::uint16_t channel, const Method& method) {
   if (state_ == State::kEnded) return;
   write_method(out_, channel, method);
-  if (!parsing_ || out_.size() > kFlushAt) flush();
+  if (!parsing_ || out_.size() > kFlushThreshold) flush();
 }
 
 void Endpoint::send_content(std::uint16_t channel, const Method& method, const Properties& properties,
                             std::string_view body) {
   if (state_ == State::kEnded) return;
   write_content(out_, channel, method, properties, body, frame_max_);
-  if (!parsing_ || out_.size() > kFlushAt) flush();
+  if (!parsing_ || out_.size() > kFlushThreshold) flush();
 }
 
 bool Endpoint::may_publish(std::uint16_t channel) const {
@@ -294,45 +295,47 @@
   connection_error(code, text);
 }
 
-// 2.2.4: tell the peer why, then wait a while for its close-ok; before the handshake is through just end.
+// 2.2.4: sends connection.close with the reason and waits for close-ok. Before the protocol header was
+// received it only ends the connection.
 void Endpoint::connection_error(ReplyCode code, const std::string& text, std::uint16_t class_id,
                                 std::uint16_t method_id) {
   if (state_ == State::kEnded || state_ == State::kClosing) return;
   close_reason_ = std::to_string(static_cast<int>(code)) + " " + text;
-  if (state_ == State::kIdle || state_ == State::kProtocol) return ended(close_reason_);
+  if (state_ == State::kIdle || state_ == State::kAwaitHeader) return end(close_reason_);
   send(0, ConnectionClose{static_cast<std::uint16_t>(code), text, class_id, method_id});
   flush();
   state_ = State::kClosing;
   channels_.clear();
-  heartbeat_->stop();
-  patience_->start(options_.close_timeout);
+  heartbeat_timer_->stop();
+  timeout_timer_->start(options_.close_timeout);
 }
 
 void Endpoint::on_closed(io::Closed why) {
-  if (state_ == State::kClosing) return ended(close_reason_);
-  ended(why == io::Closed::kNeverOpened ? "no connection"
-        : why == io::Closed::kByPeer    ? "the peer closed the connection"
-                                        : "the connection broke");
+  if (state_ == State::kClosing) return end(close_reason_);
+  end(why == io::Closed::kNeverOpened ? "no connection"
+      : why == io::Closed::kByPeer    ? "the peer closed the connection"
+                                      : "the connection broke");
 }
 
-void Endpoint::ended(const std::string& why) {
+void Endpoint::end(const std::string& why) {
   if (std::exchange(state_, State::kEnded) == State::kEnded) return;
-  patience_->stop();
-  heartbeat_->stop();
+  timeout_timer_->stop();
+  heartbeat_timer_->stop();
   if (connection_) connection_->finish();
-  const std::string kept = why;  // `why` may be a member's text
-  events_.on_ended(kept);
+  const std::string reason = why;  // a copy: `why` may refer to a member
+  events_.on_ended(reason);
 }
 
 void Endpoint::start_heartbeats() {
-  if (heartbeat_s_ > 0) heartbeat_->start(std::chrono::milliseconds(heartbeat_s_ * 500));
+  if (heartbeat_s_ > 0) heartbeat_timer_->start(std::chrono::milliseconds(heartbeat_s_ * 500));
 }
 
-// 4.2.7: something leaves at least every interval; two intervals without a byte mean that the peer is gone.
-void Endpoint::beat() {
+// 4.2.7: something is sent at least once per interval; two intervals without input mean that the peer is
+// gone.
+void Endpoint::on_heartbeat_timer() {
   const Duration interval = std::chrono::seconds(heartbeat_s_);
-  if (host_.now() - heard_ > 2 * interval) return ended("no heartbeat for two intervals");
-  if (host_.now() - sent_ >= interval / 2) {
+  if (host_.now() - last_received_ > 2 * interval) return end("no heartbeat for two intervals");
+  if (host_.now() - last_sent_ >= interval / 2) {
     write_frame(out_, FrameType::kHeartbeat, 0, {});
     flush();
   }
--- a/src/amqp/methods.h
+++ b/src/amqp/methods.h
@@ -1,6 +1,6 @@
-// The methods of AMQP 0-9-1, class by class, with the fields of the specification's XML in their order; plus
-// basic.nack, confirm.* and connection.blocked, which brokers in the field have added to it.
-// `fields` shows a codec the fields in wire order; neighbouring bits share an octet (4.2.5.2).
+// The methods of AMQP 0-9-1, class by class, with the fields in the order of the specification's XML; plus
+// the common extensions basic.nack, confirm.* and connection.blocked. `fields` passes the fields to a codec
+// in wire order; consecutive bits share an octet (4.2.5.2).
 #pragma once
 
 #include <cstdint>
@@ -11,6 +11,7 @@
 
 namespace laureltide::amqp {
 
+// A string with a 32-bit length. A std::string field is a short string (at most 255 bytes).
 struct LongString {
   std::string text;
   bool operator==(const LongString&) const = default;
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -18,16 +18,16 @@
   return url;
 }
 
-Exchange::Exchange(io::Host& host, const io::Address& to, const Request& request, Duration within,
+Exchange::Exchange(io::Host& host, const io::Address& to, const Request& request, Duration timeout,
                    Limits limits, Done done)
     : parser_(Parser::Side::kResponse, limits),
       done_(std::move(done)),
       timer_(host.timer([this] { finish("no answer in time"); })) {
   write(out_, request);
   if (request.method == "HEAD") parser_.expect_no_body();
-  timer_->start(within);
+  timer_->start(timeout);
   io::StreamOptions options;
-  options.connect_timeout = within;
+  options.connect_timeout = timeout;
   connection_ = host.connect(to, options, *this);
 }
 
@@ -38,7 +38,7 @@
 
 std::size_t Exchange::on_bytes(std::string_view bytes) {
   std::size_t used = 0;
-  while (!over_) {
+  while (!finished_) {
     std::size_t n = 0;
     const Parser::State state = parser_.feed(bytes.substr(used), n);
     used += n;
@@ -46,7 +46,7 @@
     if (state == Parser::State::kInvalid) {
       finish("no HTTP answer: " + parser_.why());
     } else if (parser_.status() < 200) {
-      parser_.reset();  // an interim answer
+      parser_.reset();  // an interim (1xx) response
     } else {
       finish("");
     }
@@ -60,7 +60,7 @@
 }
 
 void Exchange::finish(std::string why) {
-  if (std::exchange(over_, true)) return;
+  if (std::exchange(finished_, true)) return;
   timer_->stop();
   Result result;
   result.sent = sent_;
@@ -72,7 +72,7 @@
   result.why = std::move(why);
   connection_.reset();
   const Done done = std::move(done_);
-  done(std::move(result));  // it may destroy this
+  done(std::move(result));  // may destroy this object
 }
 
 }  // namespace laureltide::http
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,4 +1,5 @@
-// One HTTP/1.1 exchange as a client: connects, asks, reads the answer, closes. Sans-I/O.
+// An HTTP/1.1 client for a single exchange: connects, sends the request, reads the response, closes. All I/O
+// goes through io::Host.
 #pragma once
 
 #include <functional>
@@ -9,23 +10,24 @@
 
 namespace laureltide::http {
 
-struct Url {  // http://ADDRESS:PORT/PATH, numeric
+struct Url {  // http://ADDRESS:PORT/PATH with a numeric address
   io::Address address;
   std::string target = "/";
 };
 std::optional<Url> parse_url(std::string_view text);
 
+// One request and its response.
 class Exchange : public io::ConnectionEvents {
  public:
   struct Result {
-    int status = 0;  // 0: no answer
+    int status = 0;  // 0: no response
     Headers headers;
-    std::string body, why;
-    bool sent = false;  // the request may have arrived
+    std::string body, why;  // `why`: the error, where there is no response
+    bool sent = false;      // the server may have received the request
   };
   using Done = std::function<void(Result)>;
-  // `done` comes once, never from within the call; destroying the exchange calls it off.
-  Exchange(io::Host& host, const io::Address& to, const Request& request, Duration within, Limits limits,
+  // Calls `done` once, never from within the constructor. Destroying the exchange cancels it.
+  Exchange(io::Host& host, const io::Address& to, const Request& request, Duration timeout, Limits limits,
            Done done);
 
   void on_open() override;
@@ -40,7 +42,7 @@
   Done done_;
   std::unique_ptr<io::Timer> timer_;
   std::unique_ptr<io::Connection> connection_;
-  bool sent_ = false, over_ = false;
+  bool sent_ = false, finished_ = false;
 };
 
 }  // namespace laureltide::http
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -5,7 +5,7 @@
 
 namespace laureltide::http {
 
-constexpr std::size_t kMostWaiting = 64U << 10;  // bytes behind the request in hand, before reading stops
+constexpr std::size_t kMaxBufferedBytes = 64U << 10;  // pipelined bytes after which reading pauses
 
 class Server::Connection : public io::ConnectionEvents {
  public:
@@ -13,28 +13,28 @@
       : server_(server),
         stream_(std::move(stream)),
         parser_(Parser::Side::kRequest, server.options_.limits),
-        timer_(server.host_.timer([this] { late(); })) {
+        timer_(server.host_.timer([this] { on_timeout(); })) {
     timer_->start(server.options_.idle_timeout);
   }
 
   std::size_t on_bytes(std::string_view bytes) override {
-    waiting_.append(bytes);
+    buffer_.append(bytes);
     if (ticket_ == 0) read();
-    if (!ended_ && ticket_ != 0 && waiting_.size() > kMostWaiting) stream_->read(reading_ = false);
+    if (!ended_ && ticket_ != 0 && buffer_.size() > kMaxBufferedBytes) stream_->read(reading_ = false);
     return bytes.size();
   }
-  void on_closed(io::Closed) override { gone(); }
+  void on_closed(io::Closed) override { on_disconnect(); }
 
   void respond(Response response) {
     const bool head_only = std::exchange(head_only_, false);
-    response.close = response.close || !keep_ || server_.draining_;
+    response.close = response.close || !keep_alive_ || server_.draining_;
     ticket_ = 0;
     std::string out;
     write(out, response, head_only);
     stream_->write(out);
     if (response.close) return finish();
     parser_.reset();
-    writing_ = true;
+    response_unread_ = true;
     timer_->start(std::min(server_.options_.write_timeout, server_.options_.idle_timeout));
     if (!reading_) stream_->read(reading_ = true);
     read();
@@ -46,39 +46,40 @@
 
  private:
   void read() {
-    if (std::exchange(busy_, true)) return;  // an answer given at once: the loop below goes on
-    while (!ended_ && ticket_ == 0 && !waiting_.empty()) {
-      const bool fresh = !parser_.started();
-      const bool head = parser_.head_complete();
+    if (std::exchange(in_read_, true)) return;  // respond() from within on_request: the outer call continues
+    while (!ended_ && ticket_ == 0 && !buffer_.empty()) {
+      const bool before_first_byte = !parser_.started();
+      const bool head_was_complete = parser_.head_complete();
       std::size_t used = 0;
-      const Parser::State state = parser_.feed(waiting_, used);
-      waiting_.erase(0, used);
+      const Parser::State state = parser_.feed(buffer_, used);
+      buffer_.erase(0, used);
       if (state == Parser::State::kInvalid) {
-        refuse(parser_.error(), parser_.why());
+        reject(parser_.error(), parser_.why());
         break;
       }
       if (state == Parser::State::kNeedMore) {
-        if (parser_.started()) writing_ = false;
-        if (!head && parser_.head_complete()) {
+        if (parser_.started()) response_unread_ = false;
+        if (!head_was_complete && parser_.head_complete()) {
           if (parser_.expects_continue()) stream_->write("HTTP/1.1 100 Continue\r\n\r\n");
           timer_->start(server_.options_.body_timeout);
-        } else if (fresh && parser_.started()) {
+        } else if (before_first_byte && parser_.started()) {
           timer_->start(server_.options_.header_timeout);
         }
         if (used == 0) break;
         continue;
       }
       timer_->stop();
-      keep_ = parser_.request().keep_alive();
+      keep_alive_ = parser_.request().keep_alive();
       head_only_ = parser_.request().method == "HEAD";
       ticket_ = server_.next_++;
       server_.tickets_[ticket_] = this;
       server_.events_.on_request(ticket_, std::move(parser_.request()));
     }
-    busy_ = false;
+    in_read_ = false;
   }
-  // Where this message ends is not known any more, so nothing behind it can be read.
-  void refuse(int status, const std::string& why) {
+  // Answers with an error and closes: the end of the invalid message is unknown, so nothing after it is
+  // parsed.
+  void reject(int status, const std::string& why) {
     Response response;
     response.status = status;
     response.close = true;
@@ -89,16 +90,16 @@
     stream_->write(out);
     finish();
   }
-  void late() {
+  void on_timeout() {
     if (ended_) return;
     if (parser_.started() && ticket_ == 0)
-      return refuse(
+      return reject(
           408, parser_.head_complete() ? "the body did not come in time" : "the head did not come in time");
-    if (std::exchange(writing_, false) &&
-        stream_->unsent() == 0)  // it has read its answer, and is idle since
+    if (std::exchange(response_unread_, false) &&
+        stream_->unsent() == 0)  // the response was sent: idle since
       return timer_->start(
           std::max(Duration(0), server_.options_.idle_timeout - server_.options_.write_timeout));
-    gone();  // idle, or it does not read
+    on_disconnect();  // idle, or the client does not read its response
   }
   void finish() {
     if (std::exchange(ended_, true)) return;
@@ -106,7 +107,7 @@
     stream_->finish();
     server_.drop(*this);
   }
-  void gone() {
+  void on_disconnect() {
     if (std::exchange(ended_, true)) return;
     timer_->stop();
     if (const Ticket ticket = std::exchange(ticket_, 0)) {
@@ -120,9 +121,10 @@
   std::unique_ptr<io::Connection> stream_;
   Parser parser_;
   std::unique_ptr<io::Timer> timer_;
-  std::string waiting_;
+  std::string buffer_;
   Ticket ticket_ = 0;
-  bool keep_ = true, head_only_ = false, reading_ = true, ended_ = false, busy_ = false, writing_ = false;
+  bool keep_alive_ = true, head_only_ = false, reading_ = true, ended_ = false, in_read_ = false,
+       response_unread_ = false;
 };
 
 Server::Server(io::Host& host, ServerOptions options, Events& events)
@@ -136,9 +138,9 @@
   io::StreamOptions stream;
   listener_ = host_.listen(at, stream, [this](std::unique_ptr<io::Connection> c) -> io::ConnectionEvents* {
     if (draining_ || connections_.size() >= options_.max_connections) return nullptr;
-    auto fresh = std::make_unique<Connection>(*this, std::move(c));
-    Connection* raw = fresh.get();
-    connections_[raw] = std::move(fresh);
+    auto connection = std::make_unique<Connection>(*this, std::move(c));
+    Connection* raw = connection.get();
+    connections_[raw] = std::move(connection);
     return raw;
   });
   return listener_ != nullptr;
@@ -146,7 +148,7 @@
 
 void Server::respond(Ticket ticket, Response response) {
   const auto it = tickets_.find(ticket);
-  if (it == tickets_.end()) return;  // its client is gone
+  if (it == tickets_.end()) return;  // the client has disconnected
   Connection* connection = it->second;
   tickets_.erase(it);
   connection->respond(std::move(response));
@@ -163,9 +165,9 @@
 void Server::drop(Connection& connection) {
   const auto it = connections_.find(&connection);
   if (it == connections_.end()) return;
-  auto dead = std::move(it->second);
+  auto removed = std::move(it->second);
   connections_.erase(it);
-  dead_.bury(std::move(dead));
+  dead_.bury(std::move(removed));
 }
 
 }  // namespace laureltide::http
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,9 +1,10 @@
-// The server's end of an HTTP/1.1 connection (RFC 9112, 9). Sans-I/O.
+// An HTTP/1.1 server (RFC 9112, 9). All I/O goes through io::Host.
 //
-// One request is handled at a time; what a client sends behind it waits unread (pipelining is right, not
-// fast). Bounds: those of http::Limits; a head must be whole within `header_timeout` of its first byte and a
-// body within `body_timeout` of its head (408, slow clients); an idle connection is closed after
-// `idle_timeout`; a client that does not read its answer within `write_timeout` is hung up on.
+// Each connection handles one request at a time; pipelined requests wait unparsed until the response is sent.
+// Bounds: those of http::Limits; a head must be complete within `header_timeout` of its first byte and a body
+// within `body_timeout` of its head (else 408: slow clients); an idle connection is closed after
+// `idle_timeout`, and the connection of a client that has not read its response within `write_timeout` is
+// closed.
 #pragma once
 
 #include <functional>
@@ -21,21 +22,22 @@
   Duration body_timeout = std::chrono::seconds(30);
   Duration idle_timeout = std::chrono::seconds(60);
   Duration write_timeout = std::chrono::seconds(30);
-  std::size_t max_connections = 1024;  // over it: the connection is closed at once
+  std::size_t max_connections = 1024;  // further connections are closed at once
 };
 
 class Server {
  public:
-  // Names a request until it is answered or its client is gone.
+  // Identifies a request until its response is sent or its client disconnects.
   using Ticket = std::uint64_t;
+  // The handler of the requests, implemented by the server's owner.
   class Events {
    public:
     virtual ~Events() = default;
-    // Answer it by respond(), now or later.
+    // A complete request, to be answered by respond(), within this call or later.
     virtual void on_request(Ticket ticket, Request request) = 0;
-    // The client hung up before its answer: respond() would do nothing.
+    // The client disconnected before its response; respond() for this ticket does nothing.
     virtual void on_client_disconnected(Ticket ticket) = 0;
-    // What could not be read as a request: it is answered with `error` and makes the body of that answer.
+    // The input was rejected with `status`, and the connection is closed. Returns the body of that response.
     virtual std::string on_invalid_request(int status, const std::string& why) = 0;
   };
   Server(io::Host& host, ServerOptions options, Events& events);
@@ -44,10 +46,10 @@
   bool listen(const io::Address& at);
   io::Address address() const { return listener_->address(); }
   void respond(Ticket ticket, Response response);
-  // Listens no more; connections close behind the answers that are owed.
+  // Stops listening; each connection is closed once its open request is answered.
   void drain();
   std::size_t connections() const { return connections_.size(); }
-  std::size_t unanswered() const { return tickets_.size(); }
+  std::size_t unanswered() const { return tickets_.size(); }  // open requests
 
  private:
   class Connection;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -23,22 +23,21 @@
 namespace laureltide::net {
 namespace {
 
-constexpr std::size_t kLowMark = 64U << 10;                  // unsent bytes under which a writer may go on
-constexpr Duration kFinishWithin = std::chrono::seconds(5);  // for a peer that does not read
-// A peer that has been sent our end has this long to send its own: longer than its bytes may cross ours.
-constexpr Duration kLinger = std::chrono::milliseconds(200);
-constexpr std::size_t kMostLingerBytes = 256U << 10;  // from a peer that sends on as if nothing had been said
-constexpr std::size_t kMostLingering = 16;            // descriptors; over them the oldest goes at once
-// With no descriptor left a connection cannot be taken in, and stays readable: looked at again this much
-// later.
-constexpr Duration kAcceptAgain = std::chrono::milliseconds(20);
+constexpr std::size_t kWriteLowWatermark = 64U << 10;         // on_drained comes below this
+constexpr Duration kFinishTimeout = std::chrono::seconds(5);  // for a peer that does not read
+// After our FIN the peer has this long to send its own: enough for bytes that were in flight at that time.
+constexpr Duration kLingerTimeout = std::chrono::milliseconds(200);
+constexpr std::size_t kMaxLingerBytes = 256U << 10;  // of a peer that keeps sending after our FIN
+constexpr std::size_t kMaxLingering = 16;  // one descriptor each; the oldest is closed when more are needed
+// When accept fails for lack of descriptors the listening socket stays readable; accepting pauses this long.
+constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(20);
 
 template <auto Free>
-struct Freed {
+struct FreeWith {
   void operator()(auto* p) const { Free(p); }
 };
-using EventPtr = std::unique_ptr<event, Freed<event_free>>;
-using BufferEventPtr = std::unique_ptr<bufferevent, Freed<bufferevent_free>>;
+using EventPtr = std::unique_ptr<event, FreeWith<event_free>>;
+using BufferEventPtr = std::unique_ptr<bufferevent, FreeWith<bufferevent_free>>;
 
 timeval to_timeval(Duration d) {
   const auto us =
@@ -62,7 +61,7 @@
     event_.reset(event_new(
         base, -1, 0,
         [](evutil_socket_t, short, void* self) {
-          auto fired = static_cast<LoopTimer*>(self)->fired_;  // the timer may be destroyed by what it does
+          auto fired = static_cast<LoopTimer*>(self)->fired_;  // a copy: the callback may destroy the timer
           fired();
         },
         this));
@@ -78,8 +77,8 @@
   EventPtr event_;
 };
 
-// The library closes a descriptor some turns of the loop later. Until then it counts, and a flood of
-// connections that are turned away would leave none for the others: it goes at once.
+// Closes the descriptor at once. libevent would close it some loop iterations later, so a flood of rejected
+// connections could use up all descriptors.
 void close_now(BufferEventPtr stream) {
   const evutil_socket_t fd = bufferevent_getfd(stream.get());
   bufferevent_disable(stream.get(), EV_READ | EV_WRITE);
@@ -88,14 +87,14 @@
   evutil_closesocket(fd);
 }
 
-// Outlives its Stream when that was finished: first the unsent bytes go out, then our end of the stream; then
-// the peer has a moment to send its own. The loop owns it, so that one that ends with such a moment under way
-// leaves nothing behind.
+// Completes the orderly close of a finished Stream, which it outlives: sends the unsent bytes, then our FIN,
+// and waits a short time for the peer's FIN. Owned by the loop, so that nothing leaks if the loop ends
+// meanwhile.
 class Lingering {
  public:
-  using All = std::map<std::uint64_t, std::unique_ptr<Lingering>>;  // by age
+  using All = std::map<std::uint64_t, std::unique_ptr<Lingering>>;  // oldest first
   static void start(BufferEventPtr stream, All& all) {
-    if (all.size() >= kMostLingering) all.erase(all.begin());
+    if (all.size() >= kMaxLingering) all.erase(all.begin());
     const std::uint64_t number = all.empty() ? 0 : all.rbegin()->first + 1;
     auto fresh = std::make_unique<Lingering>(std::move(stream), all, number);
     Lingering* self = fresh.get();
@@ -103,12 +102,12 @@
     self->begin();
   }
   Lingering(BufferEventPtr stream, All& all, std::uint64_t number)
-      : stream_(std::move(stream)), all_(all), number_(number) {}
+      : stream_(std::move(stream)), all_(all), id_(number) {}
   ~Lingering() { close_now(std::move(stream_)); }
 
  private:
   void begin() {
-    const timeval tv = to_timeval(kFinishWithin);
+    const timeval tv = to_timeval(kFinishTimeout);
     bufferevent_set_timeouts(stream_.get(), nullptr, &tv);
     bufferevent_setcb(
         stream_.get(), [](bufferevent*, void* self) { static_cast<Lingering*>(self)->on_read(); },
@@ -122,28 +121,28 @@
   }
   void on_read() {
     evbuffer* in = bufferevent_get_input(stream_.get());
-    read_ += evbuffer_get_length(in);
+    discarded_bytes_ += evbuffer_get_length(in);
     evbuffer_drain(in, SIZE_MAX);
-    if (read_ > kMostLingerBytes) end();
+    if (discarded_bytes_ > kMaxLingerBytes) end();
   }
   void on_written() {
     if (evbuffer_get_length(bufferevent_get_output(stream_.get())) > 0 || std::exchange(ended_, true)) return;
     shutdown(bufferevent_getfd(stream_.get()), SHUT_WR);
-    // Once for all: a peer that keeps sending does not prolong it.
-    end_.reset(event_new(
+    // Started once: a peer that keeps sending does not extend it.
+    linger_timer_.reset(event_new(
         bufferevent_get_base(stream_.get()), -1, 0,
         [](evutil_socket_t, short, void* self) { static_cast<Lingering*>(self)->end(); }, this));
-    const timeval tv = to_timeval(kLinger);
-    event_add(end_.get(), &tv);
+    const timeval tv = to_timeval(kLingerTimeout);
+    event_add(linger_timer_.get(), &tv);
     bufferevent_disable(stream_.get(), EV_WRITE);
   }
-  void end() { all_.erase(number_); }
+  void end() { all_.erase(id_); }
 
   BufferEventPtr stream_;
   All& all_;
-  std::uint64_t number_;
-  EventPtr end_;
-  std::size_t read_ = 0;
+  std::uint64_t id_;
+  EventPtr linger_timer_;
+  std::size_t discarded_bytes_ = 0;
   bool ended_ = false;
 };
 
@@ -154,22 +153,22 @@
     stream_.reset(bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
     bufferevent_setcb(stream_.get(), on_read, on_write, on_event, this);
     bufferevent_setwatermark(stream_.get(), EV_READ, 0, options.read_ahead);
-    bufferevent_setwatermark(stream_.get(), EV_WRITE, kLowMark, 0);
+    bufferevent_setwatermark(stream_.get(), EV_WRITE, kWriteLowWatermark, 0);
     bufferevent_set_max_single_read(stream_.get(), 128U << 10);
     bufferevent_set_max_single_write(stream_.get(), 256U << 10);
-    if (fd >= 0) opened(fd);
+    if (fd >= 0) set_no_delay(fd);
   }
   ~Stream() override {
     *alive_ = false;
     if (stream_) close_now(std::move(stream_));
   }
 
-  void serve(io::ConnectionEvents* events) { events_ = events; }
+  void set_events(io::ConnectionEvents* events) { events_ = events; }
   void accepted(event_base* base) {
     bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
     open_ = true;
-    // Not from within accept: the owner has not stored us yet.
-    soon(base, [](Stream& self) { self.events_->on_open(); });
+    // Deferred: within the accept callback the owner has not stored this connection yet.
+    defer(base, [](Stream& self) { self.events_->on_open(); });
   }
   void connect(event_base* base, const sockaddr_in& to, Duration timeout) {
     const timeval tv = to_timeval(timeout);
@@ -179,77 +178,79 @@
       fail(base);
   }
   void fail(event_base* base) {
-    soon(base, [](Stream& self) { self.ended(io::Closed::kNeverOpened); });
+    defer(base, [](Stream& self) { self.ended(io::Closed::kNeverOpened); });
   }
 
   void write(std::string_view bytes) override {
-    if (over_) return;
-    // Straight to the kernel where nothing waits before it: what is written first on one connection leaves
-    // before what is written next on another. Left to the loop, a call's second attempt could overtake the
-    // word that gives up the first.
+    if (closed_) return;
+    // With nothing queued, writes go to the kernel at once, so that writes on different connections leave in
+    // the order in which they were made. Left to the loop, a call's second attempt on one connection could
+    // overtake the message on another that gives up the first attempt.
     if (open_ && unsent() == 0) {
       const ssize_t sent = send(bufferevent_getfd(stream_.get()), bytes.data(), bytes.size(), MSG_NOSIGNAL);
       if (sent > 0) bytes.remove_prefix(static_cast<std::size_t>(sent));
-      if (bytes.empty()) return;  // an error shows when the rest is written
+      if (bytes.empty()) return;  // an error appears again when the rest is written
     }
     bufferevent_write(stream_.get(), bytes.data(), bytes.size());
-    above_ |= unsent() > kLowMark;
+    above_watermark_ |= unsent() > kWriteLowWatermark;
   }
   std::size_t unsent() const override { return evbuffer_get_length(bufferevent_get_output(stream_.get())); }
   void read(bool enabled) override {
-    if (over_) return;
+    if (closed_) return;
     enabled ? bufferevent_enable(stream_.get(), EV_READ) : bufferevent_disable(stream_.get(), EV_READ);
     if (enabled && evbuffer_get_length(bufferevent_get_input(stream_.get())) > 0)
       bufferevent_trigger(stream_.get(), EV_READ, BEV_OPT_DEFER_CALLBACKS);
   }
   void finish() override {
-    if (std::exchange(over_, true)) return;
+    if (std::exchange(closed_, true)) return;
     if (!open_) return;
-    shared_events_off();
+    invalidate_callbacks();
     Lingering::start(std::move(stream_), lingering_);
   }
 
  private:
-  void shared_events_off() { *alive_ = false, alive_ = std::make_shared<bool>(true); }
+  void invalidate_callbacks() { *alive_ = false, alive_ = std::make_shared<bool>(true); }
 
-  // Later on the loop, unless the stream is gone by then; once in a stream's life.
-  void soon(event_base* base, void (*what)(Stream&)) {
-    soon_what_ = what;
-    soon_.reset(event_new(
+  // Runs `what` in a later loop iteration, unless the stream is destroyed or closed by then. Used at most
+  // once per stream.
+  void defer(event_base* base, void (*what)(Stream&)) {
+    deferred_ = what;
+    deferred_event_.reset(event_new(
         base, -1, 0,
         [](evutil_socket_t, short, void* raw) {
           auto& self = *static_cast<Stream*>(raw);
-          if (!self.over_) self.soon_what_(self);
+          if (!self.closed_) self.deferred_(self);
         },
         this));
     const timeval none{};
-    event_add(soon_.get(), &none);
+    event_add(deferred_event_.get(), &none);
   }
 
-  static void opened(evutil_socket_t fd) {
-    const int on = 1;  // calls are small and each matters: no waiting for more bytes
+  static void set_no_delay(evutil_socket_t fd) {
+    const int on = 1;  // messages are small and latency matters: no Nagle delay
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   }
   static void on_read(bufferevent* b, void* raw) {
     auto& self = *static_cast<Stream*>(raw);
-    if (self.over_ || !(bufferevent_get_enabled(b) & EV_READ)) return;
+    if (self.closed_ || !(bufferevent_get_enabled(b) & EV_READ)) return;
     evbuffer* in = bufferevent_get_input(b);
     const std::size_t size = evbuffer_get_length(in);
     if (size == 0) return;
     const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(in, -1));
     const auto alive = self.alive_;
     const std::size_t used = self.events_->on_bytes({bytes, size});
-    if (*alive && !self.over_) evbuffer_drain(in, used);
+    if (*alive && !self.closed_) evbuffer_drain(in, used);
   }
   static void on_write(bufferevent*, void* raw) {
     auto& self = *static_cast<Stream*>(raw);
-    if (!self.over_ && self.open_ && std::exchange(self.above_, false)) self.events_->on_drained();
+    if (!self.closed_ && self.open_ && std::exchange(self.above_watermark_, false))
+      self.events_->on_drained();
   }
   static void on_event(bufferevent* b, short what, void* raw) {
     auto& self = *static_cast<Stream*>(raw);
-    if (self.over_) return;
+    if (self.closed_) return;
     if (what & BEV_EVENT_CONNECTED) {
-      opened(bufferevent_getfd(b));
+      set_no_delay(bufferevent_getfd(b));
       bufferevent_set_timeouts(b, nullptr, nullptr);
       self.open_ = true;
       return self.events_->on_open();
@@ -258,18 +259,18 @@
     self.ended(what & BEV_EVENT_EOF ? io::Closed::kByPeer : io::Closed::kBroken);
   }
   void ended(io::Closed why) {
-    if (std::exchange(over_, true)) return;
+    if (std::exchange(closed_, true)) return;
     bufferevent_disable(stream_.get(), EV_READ | EV_WRITE);
     events_->on_closed(why);
   }
 
   Lingering::All& lingering_;
   BufferEventPtr stream_;
-  EventPtr soon_;
-  void (*soon_what_)(Stream&) = nullptr;
+  EventPtr deferred_event_;
+  void (*deferred_)(Stream&) = nullptr;
   io::ConnectionEvents* events_ = nullptr;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  bool open_ = false, over_ = false, above_ = false;
+  bool open_ = false, closed_ = false, above_watermark_ = false;
 };
 
 class LoopListener : public io::Listener {
@@ -281,9 +282,10 @@
                                             LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
                                             1024, reinterpret_cast<const sockaddr*>(&at), sizeof at));
     if (!listener_) return;
-    evconnlistener_set_error_cb(listener_.get(),
-                                [](evconnlistener*, void* raw) { static_cast<LoopListener*>(raw)->rest(); });
-    again_.reset(event_new(
+    evconnlistener_set_error_cb(listener_.get(), [](evconnlistener*, void* raw) {
+      static_cast<LoopListener*>(raw)->pause_accepting();
+    });
+    resume_event_.reset(event_new(
         base, -1, 0,
         [](evutil_socket_t, short, void* raw) {
           evconnlistener_enable(static_cast<LoopListener*>(raw)->listener_.get());
@@ -311,22 +313,22 @@
   }
 
  private:
-  // No descriptor, or no memory: the connection waits in the machine, and its readiness must not spin the
-  // loop.
-  void rest() {
+  // accept failed (no descriptor or no memory): the connection stays in the kernel's backlog and keeps the
+  // socket readable, so accepting pauses to keep the loop from spinning.
+  void pause_accepting() {
     ++failed_;
     evconnlistener_disable(listener_.get());
-    const timeval tv = to_timeval(kAcceptAgain);
-    event_add(again_.get(), &tv);
+    const timeval tv = to_timeval(kAcceptRetryDelay);
+    event_add(resume_event_.get(), &tv);
   }
   static void accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* raw) {
     auto& self = *static_cast<LoopListener*>(raw);
     auto stream = std::make_unique<Stream>(self.base_, fd, self.options_, self.lingering_);
-    Stream* kept = stream.get();
+    Stream* accepted_stream = stream.get();
     io::ConnectionEvents* events = self.accept_(std::move(stream));
-    if (!events) return;  // turned away: the stream is already gone
-    kept->serve(events);
-    kept->accepted(self.base_);
+    if (!events) return;  // rejected: the stream is already destroyed
+    accepted_stream->set_events(events);
+    accepted_stream->accepted(self.base_);
   }
 
   event_base* base_;
@@ -334,15 +336,15 @@
   io::Host::Accept accept_;
   Lingering::All& lingering_;
   std::uint64_t& failed_;
-  std::unique_ptr<evconnlistener, Freed<evconnlistener_free>> listener_;
-  EventPtr again_;
+  std::unique_ptr<evconnlistener, FreeWith<evconnlistener_free>> listener_;
+  EventPtr resume_event_;
 };
 
 }  // namespace
 
 struct Loop::Impl {
   LoopOptions options;
-  std::unique_ptr<event_base, Freed<event_base_free>> base;
+  std::unique_ptr<event_base, FreeWith<event_base_free>> base;
   Lingering::All lingering;
   std::uint64_t accepts_failed = 0;
   std::mt19937_64 random{std::random_device{}()};
@@ -351,49 +353,50 @@
     EventPtr event;
   };
   std::vector<std::unique_ptr<Signal>> signals;
-  // What other threads bring, and the descriptor that wakes the loop for it.
+  // Tasks posted by other threads, and the eventfd that wakes the loop for them.
   std::mutex mutex;
-  std::vector<std::function<void()>> brought;
-  int wake = -1;
-  EventPtr woken;
-  void take_brought() {
+  std::vector<std::function<void()>> posted;
+  int wake_fd = -1;
+  EventPtr wake_event;
+  void run_posted() {
     std::uint64_t count = 0;
-    const ssize_t ignored = read(wake, &count, sizeof count);
+    const ssize_t ignored = read(wake_fd, &count, sizeof count);
     static_cast<void>(ignored);
     std::vector<std::function<void()>> all;
     {
       const std::lock_guard lock(mutex);
-      all.swap(brought);
+      all.swap(posted);
     }
-    for (const auto& what : all) what();
+    for (const auto& task : all) task();
   }
   ~Impl() {
     signals.clear();
-    woken.reset();
-    if (wake >= 0) close(wake);
+    wake_event.reset();
+    if (wake_fd >= 0) close(wake_fd);
     lingering.clear();
-    // A stream whose callback was due when the loop stopped is held by it until it has run, and the library
-    // drops such callbacks with the base. A last turn runs them; what they would tell has gone.
+    // A pending deferred callback keeps its bufferevent alive, and libevent drops such callbacks with the
+    // base, which would leak the bufferevent. One last iteration runs them; their streams are already
+    // destroyed.
     event_base_loop(base.get(), EVLOOP_NONBLOCK);
   }
 };
 
 Loop::Loop(LoopOptions options) : impl_(std::make_unique<Impl>()) {
   impl_->options = options;
-  std::unique_ptr<event_config, Freed<event_config_free>> config(event_config_new());
+  std::unique_ptr<event_config, FreeWith<event_config_free>> config(event_config_new());
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_PRECISE_TIMER);
-  // Many short writes: changes of interest are gathered, which spares two system calls a write. No descriptor
-  // is ever duplicated, which this flag could not bear.
+  // Collects changes of the epoll interest set, which saves two system calls per write with many short
+  // writes. The flag is unsafe with duplicated descriptors; none are duplicated here.
   event_config_set_flag(config.get(), EVENT_BASE_FLAG_EPOLL_USE_CHANGELIST);
   impl_->base.reset(event_base_new_with_config(config.get()));
-  if (!impl_->base) throw std::runtime_error("no event loop can be made");
+  if (!impl_->base) throw std::runtime_error("cannot create the event loop");
   std::signal(SIGPIPE, SIG_IGN);
-  impl_->wake = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  if (impl_->wake < 0) throw std::runtime_error("no descriptor to wake the loop with");
-  impl_->woken.reset(event_new(
-      impl_->base.get(), impl_->wake, EV_READ | EV_PERSIST,
-      [](evutil_socket_t, short, void* raw) { static_cast<Impl*>(raw)->take_brought(); }, impl_.get()));
-  event_add(impl_->woken.get(), nullptr);
+  impl_->wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+  if (impl_->wake_fd < 0) throw std::runtime_error("cannot create the eventfd that wakes the loop");
+  impl_->wake_event.reset(event_new(
+      impl_->base.get(), impl_->wake_fd, EV_READ | EV_PERSIST,
+      [](evutil_socket_t, short, void* raw) { static_cast<Impl*>(raw)->run_posted(); }, impl_.get()));
+  event_add(impl_->wake_event.get(), nullptr);
 }
 Loop::~Loop() = default;
 
@@ -416,7 +419,7 @@
 std::unique_ptr<io::Connection> Loop::connect(const io::Address& to, const io::StreamOptions& options,
                                               io::ConnectionEvents& events) {
   auto stream = std::make_unique<Stream>(impl_->base.get(), -1, options, impl_->lingering);
-  stream->serve(&events);
+  stream->set_events(&events);
   const auto raw = to_sockaddr(to);
   if (!raw || (impl_->options.loopback_only && !is_loopback(to)))
     stream->fail(impl_->base.get());
@@ -445,16 +448,16 @@
   impl_->signals.push_back(std::move(signal));
 }
 
-void Loop::post(std::function<void()> what) {
+void Loop::post(std::function<void()> task) {
   bool first = false;
   {
     const std::lock_guard lock(impl_->mutex);
-    first = impl_->brought.empty();
-    impl_->brought.push_back(std::move(what));
+    first = impl_->posted.empty();
+    impl_->posted.push_back(std::move(task));
   }
-  if (!first) return;  // it is woken already
+  if (!first) return;  // the loop has been notified already
   const std::uint64_t one = 1;
-  const ssize_t ignored = write(impl_->wake, &one, sizeof one);
+  const ssize_t ignored = write(impl_->wake_fd, &one, sizeof one);
   static_cast<void>(ignored);
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-// The seam's host on libevent: bufferevents, timers and signals on one thread.
+// Implements io::Host on libevent: connections, timers and signals on one thread.
 #pragma once
 
 #include <memory>
@@ -10,15 +10,16 @@
 namespace laureltide::net {
 
 struct LoopOptions {
-  bool loopback_only = true;  // listening or connecting elsewhere fails; lifted by an explicit setting
+  bool loopback_only = true;  // refuse to listen on or connect to any other address
 };
 
+// The event loop of a process. All methods except post() are called on the thread that runs it.
 class Loop : public io::Host {
  public:
   explicit Loop(LoopOptions options = {});
   ~Loop() override;
 
-  Time now() const override;  // CLOCK_MONOTONIC, so that the programs of one machine agree on it
+  Time now() const override;  // CLOCK_MONOTONIC: the same for all processes of one machine
   std::int64_t unix_ms() const override;
   std::uint64_t random() override;
   std::unique_ptr<io::Timer> timer(std::function<void()> fired) override;
@@ -27,11 +28,13 @@
   std::unique_ptr<io::Listener> listen(const io::Address& at, const io::StreamOptions& options,
                                        Accept accept) override;
 
-  // Handled on the loop's thread, so that a handler may do anything.
+  // The handler runs on the loop's thread as an ordinary event, so it is not limited to async-signal-safe
+  // functions.
   void on_signal(int number, std::function<void()> handler);
-  // From any thread: runs `what` on the loop's, in order. What is left when the loop ends is dropped.
-  void post(std::function<void()> what);
-  // Times that a connection waited and no descriptor was left to take it in.
+  // Thread-safe. Runs `task` on the loop's thread, in the order of the calls. Tasks that have not run when
+  // the loop is destroyed are dropped.
+  void post(std::function<void()> task);
+  // How often accept failed, for example because the process had no file descriptor left.
   std::uint64_t accepts_failed() const;
   void run();   // until stop()
   void stop();  // from the loop's thread
