--- a/tests/amqp/codec_test.cpp
+++ b/tests/amqp/codec_test.cpp
@@ -1,4 +1,5 @@
-// AMQP 0-9-1 bytes: examples worked out from the specification, round trips, and what must be refused.
+// The AMQP 0-9-1 codec: examples derived from the specification, round trips, and input that must be
+// rejected.
 #include "amqp/codec.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +17,7 @@
   EXPECT_EQ(out, bytes_of({8, 0, 0, 0, 0, 0, 0, 0xCE}));
 }
 
-TEST(AmqpFrame, NeedsMoreUntilItsLastOctet) {
+TEST(AmqpFrame, IsIncompleteUntilLastOctet) {
   std::string out;
   write_frame(out, FrameType::kBody, 7, "payload");
   for (std::size_t n = 0; n < out.size(); ++n)
@@ -29,28 +30,28 @@
   EXPECT_EQ(r.size, out.size());
 }
 
-TEST(AmqpFrame, OneByteOverFrameMaxIsBadFromItsHeaderOn) {
-  std::string well, over;
-  write_frame(well, FrameType::kBody, 1, std::string(4096 - 8, 'x'));
-  write_frame(over, FrameType::kBody, 1, std::string(4096 - 7, 'x'));
-  EXPECT_EQ(parse_frame(well, 4096).kind, FrameResult::Kind::kFrame);
-  EXPECT_EQ(parse_frame(std::string_view(over).substr(0, 7), 4096).kind, FrameResult::Kind::kInvalid);
+TEST(AmqpFrame, RejectsOversizedFrameFromItsHeader) {
+  std::string at_limit, over_limit;
+  write_frame(at_limit, FrameType::kBody, 1, std::string(4096 - 8, 'x'));
+  write_frame(over_limit, FrameType::kBody, 1, std::string(4096 - 7, 'x'));
+  EXPECT_EQ(parse_frame(at_limit, 4096).kind, FrameResult::Kind::kFrame);
+  EXPECT_EQ(parse_frame(std::string_view(over_limit).substr(0, 7), 4096).kind, FrameResult::Kind::kInvalid);
 }
 
-TEST(AmqpFrame, LyingLengthIsBad) {
+TEST(AmqpFrame, RejectsWrongLength) {
   std::string out;
   write_frame(out, FrameType::kBody, 1, "four");
   out[6] = 3;  // the end octet is not where the length says
   EXPECT_EQ(parse_frame(out, 4096).kind, FrameResult::Kind::kInvalid);
 }
 
-TEST(AmqpFrame, UnknownTypeIsBadAtOnce) {
+TEST(AmqpFrame, RejectsUnknownTypeFromFirstOctet) {
   EXPECT_EQ(parse_frame("G", 0).kind, FrameResult::Kind::kInvalid);
   EXPECT_EQ(parse_frame(bytes_of({8, 0, 1, 0, 0, 0, 0}), 0).kind,
             FrameResult::Kind::kInvalid);  // heartbeat on a channel
 }
 
-TEST(AmqpMethod, QueueDeclareAsTheSpecificationHasIt) {
+TEST(AmqpMethod, WritesQueueDeclareAsSpecified) {
   QueueDeclare m;
   m.queue = "q";
   m.durable = true, m.auto_delete = true;
@@ -60,7 +61,7 @@
   EXPECT_EQ(out, bytes_of({1, 0, 1, 0, 0, 0, 13, 0, 50, 0, 10, 0, 0, 1, 'q', 0b01010, 0, 0, 0, 0, 0xCE}));
 }
 
-// Every method, with its fields filled, comes back as it went.
+// Calls `visit` with a default value of every method.
 template <std::size_t I = 0>
 void each_method(auto&& visit) {
   if constexpr (I < std::variant_size_v<Method>) {
@@ -69,24 +70,25 @@
   }
 }
 
-struct Fill {
+// Fills the fields of a method with random values.
+struct FillRandomly {
   std::mt19937& random;
-  void operator()(auto&... fields) { (one(fields), ...); }
-  void one(bool& v) { v = random() % 2; }
-  void one(std::uint8_t& v) { v = static_cast<std::uint8_t>(random()); }
-  void one(std::uint16_t& v) { v = static_cast<std::uint16_t>(random()); }
-  void one(std::uint32_t& v) { v = static_cast<std::uint32_t>(random()); }
-  void one(std::uint64_t& v) { v = random() * 4294967291ULL; }
-  void one(std::string& v) { v.assign(random() % 20, static_cast<char>(random())); }
-  void one(LongString& v) { v.text.assign(random() % 300, static_cast<char>(random())); }
-  void one(Table& v) { v.set("k", std::int32_t{-5}).set("t", Table{}.set("in", true)); }
+  void operator()(auto&... fields) { (fill_field(fields), ...); }
+  void fill_field(bool& v) { v = random() % 2; }
+  void fill_field(std::uint8_t& v) { v = static_cast<std::uint8_t>(random()); }
+  void fill_field(std::uint16_t& v) { v = static_cast<std::uint16_t>(random()); }
+  void fill_field(std::uint32_t& v) { v = static_cast<std::uint32_t>(random()); }
+  void fill_field(std::uint64_t& v) { v = random() * 4294967291ULL; }
+  void fill_field(std::string& v) { v.assign(random() % 20, static_cast<char>(random())); }
+  void fill_field(LongString& v) { v.text.assign(random() % 300, static_cast<char>(random())); }
+  void fill_field(Table& v) { v.set("k", std::int32_t{-5}).set("t", Table{}.set("in", true)); }
 };
 
-TEST(AmqpMethod, EveryOneGoesRound) {
+TEST(AmqpMethod, EveryMethodRoundTrips) {
   std::mt19937 random(1);
   for (int round = 0; round < 20; ++round)
     each_method([&](auto m) {
-      m.fields(Fill{random});
+      m.fields(FillRandomly{random});
       std::string out, again;
       write_method(out, 3, m);
       const FrameResult f = parse_frame(out, 0);
@@ -99,7 +101,7 @@
     });
 }
 
-TEST(AmqpMethod, TooShortAndTooLongAreSyntaxErrors) {
+TEST(AmqpMethod, MissingAndTrailingBytesAreSyntaxErrors) {
   each_method([&](auto m) {
     std::string out;
     write_method(out, 1, m);
@@ -113,7 +115,7 @@
   EXPECT_EQ(parse_method(bytes_of({0, 99, 0, 1})).code, ReplyCode::kNotImplemented);
 }
 
-TEST(AmqpTable, EveryTypeGoesRound) {
+TEST(AmqpTable, EveryTypeRoundTrips) {
   Table t;
   t.set("V", {})
       .set("t", true)
@@ -132,15 +134,15 @@
   EXPECT_TRUE(in.done());
 }
 
-TEST(AmqpTable, NestingUnknownTypesAndLyingLengthsFail) {
+TEST(AmqpTable, RejectsDeepNestingUnknownTypesAndWrongLengths) {
   auto fails = [](const std::string& bytes) {
     Reader in(bytes);
     read_table(in);
     return !in.ok();
   };
   EXPECT_TRUE(fails(bytes_of({0, 0, 0, 3, 1, 'k', '?'})));
-  EXPECT_TRUE(fails(bytes_of({0, 0, 0, 9, 1, 'k', 't'})));              // longer than what there is
-  EXPECT_TRUE(fails(bytes_of({0, 0, 0, 7, 1, 'k', 'S', 0, 0, 0, 9})));  // a text longer than its table
+  EXPECT_TRUE(fails(bytes_of({0, 0, 0, 9, 1, 'k', 't'})));              // longer than the input
+  EXPECT_TRUE(fails(bytes_of({0, 0, 0, 7, 1, 'k', 'S', 0, 0, 0, 9})));  // a string longer than its table
   Table deep;
   for (int i = 0; i < kMaxNesting + 1; ++i) {
     Table outer;
@@ -150,10 +152,10 @@
   std::string out;
   Writer w(out);
   write_table(w, deep);
-  EXPECT_TRUE(fails(out));  // bounds the stack that a peer can make us use
+  EXPECT_TRUE(fails(out));  // bounds the stack that a peer's input can use
 }
 
-TEST(AmqpContent, HeaderWithEveryPropertyGoesRound) {
+TEST(AmqpContent, HeaderWithEveryPropertyRoundTrips) {
   ContentHeader h;
   h.body_size = 1ULL << 40;
   Properties& p = h.properties;
@@ -172,7 +174,7 @@
   EXPECT_FALSE(parse_content_header(payload.substr(0, payload.size() - 1)));
 }
 
-TEST(AmqpContent, BodyIsCutAtFrameMax) {
+TEST(AmqpContent, SplitsBodyAtFrameMax) {
   std::string out;
   write_content(out, 1, BasicPublish{}, {}, std::string(10000, 'x'), 4096);
   std::size_t at = 0, bodies = 0, bytes = 0;
@@ -186,7 +188,7 @@
   EXPECT_EQ(bytes, 10000U);
 }
 
-TEST(AmqpBytes, NoiseNeverBreaksTheParsers) {
+TEST(AmqpBytes, RandomInputDoesNotBreakParsers) {
   std::mt19937 random(2);
   for (int i = 0; i < 20000; ++i) {
     std::string noise(random() % 80, '\0');
--- a/tests/amqp/endpoint_test.cpp
+++ b/tests/amqp/endpoint_test.cpp
@@ -1,4 +1,4 @@
-// The connection machines against each other and against peers that break the rules, in virtual time.
+// AMQP endpoints against each other and against peers that violate the protocol, in simulated time.
 #include "amqp/endpoint.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
   }
   void on_ended(const std::string& why) override { ended = why.empty() ? "?" : why; }
   template <class M>
-  bool got() const {
+  bool received() const {
     return std::any_of(methods.begin(), methods.end(), [](auto& m) { return std::holds_alternative<M>(m); });
   }
 };
@@ -41,19 +41,19 @@
   }
 };
 
-// A peer that speaks bytes.
-struct Raw : io::ConnectionEvents {
+// A peer that exchanges raw bytes.
+struct RawPeer : io::ConnectionEvents {
   std::unique_ptr<io::Connection> connection;
-  std::string got;
+  std::string received;
   bool open = false, closed = false;
   void on_open() override { open = true; }
-  std::size_t on_bytes(std::string_view b) override { return got += b, b.size(); }
+  std::size_t on_bytes(std::string_view b) override { return received += b, b.size(); }
   void on_closed(io::Closed) override { closed = true; }
   std::optional<std::uint16_t> close_code() const {
     std::size_t at = 0;
     std::optional<std::uint16_t> code;
-    while (at < got.size()) {
-      const FrameResult f = parse_frame(std::string_view(got).substr(at), 0);
+    while (at < received.size()) {
+      const FrameResult f = parse_frame(std::string_view(received).substr(at), 0);
       if (f.kind != FrameResult::Kind::kFrame) break;
       const MethodResult m = parse_method(f.frame.payload);
       if (m.method)
@@ -64,41 +64,43 @@
   }
 };
 
-struct Town {
+struct BrokerFixture {
   sim::Network net;
   standin::NoTape tape;
   standin::Broker broker;
-  explicit Town(standin::BrokerOptions o = {}) : broker(net, o, tape) { EXPECT_TRUE(broker.listen(kAt)); }
+  explicit BrokerFixture(standin::BrokerOptions o = {}) : broker(net, o, tape) {
+    EXPECT_TRUE(broker.listen(kAt));
+  }
 };
 
-TEST(AmqpEndpoint, TunesToTheSmallerOfBothSides) {
+TEST(AmqpEndpoint, TunesToSmallerLimits) {
   standin::BrokerOptions o;
   o.channel_max = 10, o.frame_max = 8192, o.heartbeat_s = 60;
-  Town town(o);
+  BrokerFixture fixture(o);
   EndpointOptions mine;
   mine.channel_max = 64, mine.frame_max = 128 << 10;
-  Client c(town.net, mine);
-  ASSERT_TRUE(town.net.run_until([&] { return c.events.ready; }));
+  Client c(fixture.net, mine);
+  ASSERT_TRUE(fixture.net.run_until([&] { return c.events.ready; }));
   EXPECT_EQ(c.endpoint.channel_max(), 10);
   EXPECT_EQ(c.endpoint.frame_max(), 8192U);
 }
 
-TEST(AmqpEndpoint, WrongPasswordAndWrongVhostAreToldWithTheirCodes) {
-  Town town;
+TEST(AmqpEndpoint, ReportsCodesOfWrongPasswordAndVhost) {
+  BrokerFixture fixture;
   EndpointOptions o;
   o.password = "no";
-  Client wrong(town.net, o);
-  ASSERT_TRUE(town.net.run_until([&] { return !wrong.events.ended.empty(); }));
+  Client wrong(fixture.net, o);
+  ASSERT_TRUE(fixture.net.run_until([&] { return !wrong.events.ended.empty(); }));
   EXPECT_TRUE(wrong.events.ended.starts_with("403")) << wrong.events.ended;
   o.password = "guest", o.vhost = "/elsewhere";
-  Client lost(town.net, o);
-  ASSERT_TRUE(town.net.run_until([&] { return !lost.events.ended.empty(); }));
-  EXPECT_TRUE(lost.events.ended.starts_with("530")) << lost.events.ended;
+  Client wrong_vhost(fixture.net, o);
+  ASSERT_TRUE(fixture.net.run_until([&] { return !wrong_vhost.events.ended.empty(); }));
+  EXPECT_TRUE(wrong_vhost.events.ended.starts_with("530")) << wrong_vhost.events.ended;
 }
 
-// Up to the open connection; then what the test has to say.
-struct Handshaken : Raw {
-  Handshaken(sim::Network& net) {
+// A raw peer with an open connection and channel; the test then sends violation it likes.
+struct HandshakenPeer : RawPeer {
+  HandshakenPeer(sim::Network& net) {
     connection = net.connect(kAt, {}, *this);
     net.run_until([&] { return open; });
     std::string out(kProtocolHeader);
@@ -111,9 +113,9 @@
   }
 };
 
-TEST(AmqpEndpoint, EachBreachIsClosedWithItsReplyCode) {
+TEST(AmqpEndpoint, ClosesWithReplyCodeOfEachViolation) {
   struct Case {
-    const char* what;
+    const char* violation;
     std::function<void(std::string&)> bytes;
     std::uint16_t code;
   };
@@ -148,64 +150,64 @@
        540},
   };
   for (const Case& c : cases) {
-    SCOPED_TRACE(c.what);
-    Town town;
-    Handshaken peer(town.net);
+    SCOPED_TRACE(c.violation);
+    BrokerFixture fixture;
+    HandshakenPeer peer(fixture.net);
     std::string out;
     c.bytes(out);
     peer.connection->write(out);
-    town.net.run_for(10s);
+    fixture.net.run_for(10s);
     ASSERT_TRUE(peer.close_code());
     EXPECT_EQ(*peer.close_code(), c.code);
-    EXPECT_EQ(town.broker.connections(), 0U);
+    EXPECT_EQ(fixture.broker.connections(), 0U);
   }
 }
 
-TEST(AmqpEndpoint, AnotherProtocolIsAnsweredWithOurHeader) {
-  Town town;
-  Raw peer;
-  peer.connection = town.net.connect(kAt, {}, peer);
-  ASSERT_TRUE(town.net.run_until([&] { return peer.open; }));
+TEST(AmqpEndpoint, AnswersOtherProtocolWithSupportedHeader) {
+  BrokerFixture fixture;
+  RawPeer peer;
+  peer.connection = fixture.net.connect(kAt, {}, peer);
+  ASSERT_TRUE(fixture.net.run_until([&] { return peer.open; }));
   peer.connection->write(std::string("AMQP\0\1\0\0", 8));
-  ASSERT_TRUE(town.net.run_until([&] { return peer.closed; }));
-  EXPECT_EQ(peer.got, kProtocolHeader);
+  ASSERT_TRUE(fixture.net.run_until([&] { return peer.closed; }));
+  EXPECT_EQ(peer.received, kProtocolHeader);
 }
 
-TEST(AmqpEndpoint, HalfOpenPeersAreGivenUp) {
-  Town town;
-  std::vector<std::unique_ptr<Raw>> peers;
-  for (const std::string& said : {std::string(), std::string("AMQ"), std::string(kProtocolHeader)}) {
-    peers.push_back(std::make_unique<Raw>());
-    Raw& p = *peers.back();
-    p.connection = town.net.connect(kAt, {}, p);
-    ASSERT_TRUE(town.net.run_until([&] { return p.open; }));
-    if (!said.empty()) p.connection->write(said);
+TEST(AmqpEndpoint, ClosesPeersThatDoNotCompleteHandshake) {
+  BrokerFixture fixture;
+  std::vector<std::unique_ptr<RawPeer>> peers;
+  for (const std::string& sent : {std::string(), std::string("AMQ"), std::string(kProtocolHeader)}) {
+    peers.push_back(std::make_unique<RawPeer>());
+    RawPeer& p = *peers.back();
+    p.connection = fixture.net.connect(kAt, {}, p);
+    ASSERT_TRUE(fixture.net.run_until([&] { return p.open; }));
+    if (!sent.empty()) p.connection->write(sent);
   }
-  town.net.run_for(15s);
+  fixture.net.run_for(15s);
   for (const auto& p : peers) EXPECT_TRUE(p->closed);
-  EXPECT_EQ(town.broker.connections(), 0U);
+  EXPECT_EQ(fixture.broker.connections(), 0U);
 }
 
-TEST(AmqpEndpoint, ClientGivesUpOnABrokerThatSaysNothing) {
+TEST(AmqpEndpoint, ClientGivesUpOnUnresponsiveBroker) {
   sim::Network net;
-  Raw silent;
+  RawPeer unresponsive;
   auto listener = net.listen(kAt, {}, [&](std::unique_ptr<io::Connection> c) {
-    silent.connection = std::move(c);
-    return &silent;
+    unresponsive.connection = std::move(c);
+    return &unresponsive;
   });
   Client c(net);
   ASSERT_TRUE(net.run_until([&] { return !c.events.ended.empty(); }, 20s));
 }
 
-TEST(AmqpEndpoint, OverLongContentIsCountedAndCut) {
+TEST(AmqpEndpoint, TruncatesOversizedContent) {
   standin::BrokerOptions o;
   o.most_body = 1000;
-  Town town(o);
-  Client c(town.net);
-  ASSERT_TRUE(town.net.run_until([&] { return c.events.ready; }));
+  BrokerFixture fixture(o);
+  Client c(fixture.net);
+  ASSERT_TRUE(fixture.net.run_until([&] { return c.events.ready; }));
   c.endpoint.open_channel(1);
   c.endpoint.send_content(1, BasicPublish{}, {}, std::string(5000, 'x'));
-  ASSERT_TRUE(town.net.run_until([&] { return c.events.closed_code != 0; }));
+  ASSERT_TRUE(fixture.net.run_until([&] { return c.events.closed_code != 0; }));
   EXPECT_EQ(c.events.closed_code, 311);
 }
 
--- a/tests/http/message_test.cpp
+++ b/tests/http/message_test.cpp
@@ -1,4 +1,4 @@
-// The parser: what is a message, and a hundred things that are none, each with the status that says why.
+// The HTTP parser: valid messages, and a hundred malformed ones with the status of each.
 #include "http/message.h"
 
 #include <gtest/gtest.h>
@@ -8,21 +8,21 @@
 namespace laureltide::http {
 namespace {
 
-struct Read {
+struct ParseOutcome {
   Parser::State state = Parser::State::kNeedMore;
   Request request;
   int error = 0;
   std::string why;
   std::size_t used = 0;
 };
-Limits small() {
+Limits small_limits() {
   Limits l;
   l.max_body_bytes = 1000;
   return l;
 }
-Read read(std::string_view bytes, std::size_t piece = 0) {
-  Parser p(Parser::Side::kRequest, small());
-  Read r;
+ParseOutcome parse_request(std::string_view bytes, std::size_t piece = 0) {
+  Parser p(Parser::Side::kRequest, small_limits());
+  ParseOutcome r;
   while (r.used < bytes.size() && r.state == Parser::State::kNeedMore) {
     std::size_t used = 0;
     const std::string_view next = bytes.substr(r.used, piece ? piece : std::string_view::npos);
@@ -35,21 +35,21 @@
 }
 const std::string kHost = "Host: a\r\n";
 
-TEST(HttpParser, WholeRequestsInPiecesOfAnySize) {
+TEST(HttpParser, ParsesRequestsInPiecesOfAnySize) {
   const std::string plain =
       "POST /v1/x?q=1 HTTP/1.1\r\n" + kHost + "Content-Length: 5\r\nX-Y:  a b \r\n\r\nhello";
   const std::string chunked =
       "POST /c HTTP/1.1\r\n" + kHost +
       "Transfer-Encoding: Chunked\r\n\r\n5;x=y\r\nhello\r\n6\r\n world\r\n0\r\nT: z\r\n\r\n";
   for (std::size_t piece = 0; piece < 40; ++piece) {
-    const Read a = read(plain + "GET", piece);
+    const ParseOutcome a = parse_request(plain + "GET", piece);
     ASSERT_EQ(a.state, Parser::State::kDone) << piece << a.why;
     EXPECT_EQ(a.request.method, "POST");
     EXPECT_EQ(a.request.target, "/v1/x?q=1");
     EXPECT_EQ(*a.request.headers.find("x-y"), "a b");
     EXPECT_EQ(a.request.body, "hello");
-    EXPECT_EQ(a.used, plain.size());  // what follows is the next message's
-    const Read b = read(chunked, piece);
+    EXPECT_EQ(a.used, plain.size());  // the bytes that follow belong to the next message
+    const ParseOutcome b = parse_request(chunked, piece);
     ASSERT_EQ(b.state, Parser::State::kDone) << piece << b.why;
     EXPECT_EQ(b.request.body, "hello world");
     EXPECT_EQ(b.request.headers.find("T"), nullptr);
@@ -58,20 +58,21 @@
 }
 
 TEST(HttpParser, KeepAlive) {
-  EXPECT_TRUE(read("GET / HTTP/1.1\r\n" + kHost + "\r\n").request.keep_alive());
-  EXPECT_FALSE(read("GET / HTTP/1.1\r\n" + kHost + "Connection: x, Close\r\n\r\n").request.keep_alive());
-  EXPECT_FALSE(read("GET / HTTP/1.0\r\n\r\n").request.keep_alive());
-  EXPECT_TRUE(read("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n").request.keep_alive());
+  EXPECT_TRUE(parse_request("GET / HTTP/1.1\r\n" + kHost + "\r\n").request.keep_alive());
+  EXPECT_FALSE(
+      parse_request("GET / HTTP/1.1\r\n" + kHost + "Connection: x, Close\r\n\r\n").request.keep_alive());
+  EXPECT_FALSE(parse_request("GET / HTTP/1.0\r\n\r\n").request.keep_alive());
+  EXPECT_TRUE(parse_request("GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n").request.keep_alive());
 }
 
-struct Bad {
+struct MalformedRequest {
   std::string bytes;
   int status;
 };
-std::vector<Bad> malformed() {
+std::vector<MalformedRequest> malformed() {
   const std::string get = "GET / HTTP/1.1\r\n", post = "POST / HTTP/1.1\r\n" + kHost;
-  std::vector<Bad> all{
-      // Smuggling: where a message ends must not be a matter of taste.
+  std::vector<MalformedRequest> all{
+      // Request smuggling: messages whose end lenient parsers disagree about.
       {post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
       {post + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", 400},
       {post + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello", 400},
@@ -122,7 +123,7 @@
       {post + "Transfer-Encoding: chunked\r\n\r\n0\r\nA : b\r\n\r\n", 400},
       {post + "Transfer-Encoding: chunked\r\n\r\n0\r\n folded\r\n\r\n", 400},
       // Bounds.
-      // 2^64 + 5: it must not come round to five.
+      // 2^64 + 5 must not overflow to 5.
       {post + "Transfer-Encoding: chunked\r\n\r\n10000000000000005\r\nhello\r\n0\r\n\r\n", 413},
       {"GET /\x01 HTTP/1.1\r\n" + kHost + "\r\n", 400},
       {"GET /a b HTTP/1.1\r\n" + kHost + "\r\n", 400},
@@ -189,20 +190,20 @@
   return all;
 }
 
-TEST(HttpParser, AHundredMalformedRequestsEachWithItsStatus) {
+TEST(HttpParser, RejectsMalformedRequestsWithTheirStatus) {
   const auto all = malformed();
   ASSERT_GE(all.size(), 100U);
-  for (const Bad& bad : all)
+  for (const MalformedRequest& each : all)
     for (const std::size_t piece : {std::size_t{0}, std::size_t{1}, std::size_t{7}}) {
-      const Read r = read(bad.bytes, piece);
-      EXPECT_EQ(r.state, Parser::State::kInvalid) << testing::PrintToString(bad.bytes.substr(0, 120));
-      EXPECT_EQ(r.error, bad.status) << testing::PrintToString(bad.bytes.substr(0, 120)) << " " << r.why;
+      const ParseOutcome r = parse_request(each.bytes, piece);
+      EXPECT_EQ(r.state, Parser::State::kInvalid) << testing::PrintToString(each.bytes.substr(0, 120));
+      EXPECT_EQ(r.error, each.status) << testing::PrintToString(each.bytes.substr(0, 120)) << " " << r.why;
       EXPECT_FALSE(r.why.empty());
     }
 }
 
-// Whatever the bytes: the same verdict in one piece and in many, and never more than the bounds.
-TEST(HttpParser, DrawnBytesMeanTheSameInAnyPieces) {
+// Random input must give the same result in one piece and in several.
+TEST(HttpParser, RandomInputParsesTheSameInAnyPieces) {
   std::mt19937_64 random(7);
   const std::vector<std::string> words{"GET ",     "POST ",   "/ ",
                                        "HTTP/1.1", "\r\n",    "\n",
@@ -213,7 +214,7 @@
   for (int i = 0; i < 20'000; ++i) {
     std::string bytes = i % 2 ? "POST / HTTP/1.1\r\nHost: a\r\n" : "";
     for (auto n = random() % 14; n > 0; --n) bytes += words[random() % words.size()];
-    const Read whole = read(bytes), pieces = read(bytes, 1 + random() % 5);
+    const ParseOutcome whole = parse_request(bytes), pieces = parse_request(bytes, 1 + random() % 5);
     ASSERT_EQ(whole.state, pieces.state) << testing::PrintToString(bytes);
     ASSERT_EQ(whole.error, pieces.error) << testing::PrintToString(bytes);
     if (whole.state == Parser::State::kDone) {
@@ -223,9 +224,9 @@
   }
 }
 
-TEST(HttpParser, Responses) {
+TEST(HttpParser, ParsesResponses) {
   auto parse = [](std::string_view bytes, bool closed = false) {
-    Parser p(Parser::Side::kResponse, small());
+    Parser p(Parser::Side::kResponse, small_limits());
     std::size_t used = 0;
     Parser::State s = p.feed(bytes, used);
     if (s == Parser::State::kNeedMore && closed) s = p.end();
@@ -241,7 +242,7 @@
   EXPECT_EQ(std::get<0>(parse("SSH-2.0-x\r\n")), Parser::State::kInvalid);
 }
 
-TEST(HttpParser, Targets) {
+TEST(HttpParser, SplitsTargets) {
   EXPECT_EQ(split_target("/v1/a%20b/c?x=%y")->path, (std::vector<std::string>{"v1", "a b", "c"}));
   EXPECT_EQ(split_target("/a?b?c")->query, "b?c");
   EXPECT_FALSE(split_target("http://a/"));
--- a/tests/sockets.h
+++ b/tests/sockets.h
@@ -1,5 +1,5 @@
-// Real sockets for tests that force a crossing: peers that do nothing by themselves, so that the test decides
-// which byte, connection or end is there before the loop's next step. Loopback only.
+// Real sockets for tests that force a race: they do nothing by themselves, so the test decides which bytes,
+// connections and closes have happened before the loop's next iteration. Loopback only.
 #pragma once
 
 #include <arpa/inet.h>
@@ -34,7 +34,7 @@
  public:
   RawSocket() = default;
   explicit RawSocket(int fd) : fd_(fd) {}
-  // Stands when the machine has accepted it, whether or not the peer's program has.
+  // Connected once the kernel has accepted the connection, whether or not the peer's program has.
   explicit RawSocket(const io::Address& to, int receive_buffer = 0) : fd_(socket(AF_INET, SOCK_STREAM, 0)) {
     if (receive_buffer > 0) setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
     const sockaddr_in raw = raw_address(to);
@@ -63,7 +63,7 @@
     setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
     close();
   }
-  // What has come up to now, all of it since the start. ended() and error() tell of the end.
+  // All bytes received since the start. After the end of the stream ended() or error() is set.
   const std::string& read() {
     char buffer[65536];
     while (fd_ >= 0 && !ended_ && error_ == 0) {
@@ -88,16 +88,16 @@
   std::string read_;
 };
 
-// Listens, and accepts only when told. `hold`: its queue is full from the start, so that a connection made to
-// it does not come up before room() is called: the machine drops the SYN, and the peer's sends it again after
-// 1 s.
+// Listens, and accepts only when told to. With `full_backlog` the backlog is full from the start, so a
+// connection to it is not established before free_backlog() is called: the kernel drops the SYN, and the
+// peer's kernel sends it again after 1 s.
 class RawListener {
  public:
-  explicit RawListener(bool hold = false) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
+  explicit RawListener(bool full_backlog = false) : fd_(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
     sockaddr_in raw = raw_address({"127.0.0.1", 0});
     bind(fd_, reinterpret_cast<const sockaddr*>(&raw), sizeof raw);
-    listen(fd_, hold ? 0 : 64);
-    if (hold) filler_ = RawSocket(address());
+    listen(fd_, full_backlog ? 0 : 64);
+    if (full_backlog) filler_ = RawSocket(address());
   }
   ~RawListener() { ::close(fd_); }
   RawListener(const RawListener&) = delete;
@@ -113,7 +113,7 @@
     RawSocket filled(accept(fd_, nullptr, nullptr));
     filler_.close();
   }
-  // Not standing where none waits.
+  // Not connected if no connection is waiting.
   RawSocket accept_one() { return RawSocket(accept(fd_, nullptr, nullptr)); }
 
  private:
@@ -121,24 +121,24 @@
   RawSocket filler_;
 };
 
-// Runs the loop until `done` holds; false if that took longer than `most`.
+// Runs the loop until `done` returns true; returns false if that took longer than `timeout`.
 inline bool run_until(net::Loop& loop, const std::function<bool()>& done,
-                      Duration most = std::chrono::seconds(10)) {
-  const Time end = loop.now() + most;
-  bool held = false;
-  std::unique_ptr<io::Timer> look;
-  look = loop.timer([&] {
-    held = done();
-    if (held || loop.now() >= end) return loop.stop();
-    look->start(std::chrono::milliseconds(1));
+                      Duration timeout = std::chrono::seconds(10)) {
+  const Time end = loop.now() + timeout;
+  bool was_done = false;
+  std::unique_ptr<io::Timer> poll_timer;
+  poll_timer = loop.timer([&] {
+    was_done = done();
+    if (was_done || loop.now() >= end) return loop.stop();
+    poll_timer->start(std::chrono::milliseconds(1));
   });
-  look->start(Duration(0));
+  poll_timer->start(Duration(0));
   loop.run();
-  return held;
+  return was_done;
 }
-inline void run_for(net::Loop& loop, Duration span) {
+inline void run_for(net::Loop& loop, Duration duration) {
   run_until(
-      loop, [] { return false; }, span);
+      loop, [] { return false; }, duration);
 }
 
 inline std::size_t open_descriptors() {
