--- a/tests/amqp/endpoint_test.cpp
+++ b/tests/amqp/endpoint_test.cpp
@@ -98,7 +98,7 @@
   EXPECT_TRUE(wrong_vhost.events.ended.starts_with("530")) << wrong_vhost.events.ended;
 }
 
-// A raw peer with an open connection and channel; the test then sends violation it likes.
+// A raw peer with an open connection and channel; the test then sends what it needs.
 struct HandshakenPeer : RawPeer {
   HandshakenPeer(sim::Network& net) {
     connection = net.connect(kAt, {}, *this);
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -129,19 +129,19 @@
   EXPECT_EQ(tests::open_descriptors(), baseline);
 }
 
-// Without a lowest_free descriptor the listening socket stays readable: the loop must neither spin nor lose
+// Without a free descriptor the listening socket stays readable: the loop must neither spin nor lose
 // the waiting connection.
 TEST_F(LoopPair, PausesAcceptingWithoutDescriptors) {
   const int client = socket(AF_INET, SOCK_STREAM, 0);
   const sockaddr_in raw = tests::raw_address(listener->address());
-  // Objects used while no descriptor is lowest_free are created before: the undefined-behaviour sanitizer
+  // Objects used while no descriptor is free are created before: the undefined-behaviour sanitizer
   // opens a pipe to inspect an object.
   const auto stop = loop.timer([this] { loop.stop(); });
   stop->start(200ms);
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
   const rlimit original_limit = limit;
-  const int lowest_free = dup(client);  // the lowest lowest_free number
+  const int lowest_free = dup(client);  // the lowest free number
   limit.rlim_cur = static_cast<rlim_t>(lowest_free);
   close(lowest_free);
   ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &limit), 0);
