--- a/src/amqp/endpoint.h
+++ b/src/amqp/endpoint.h
@@ -25,7 +25,7 @@
   std::uint32_t frame_max = 128U << 10;
   std::uint16_t heartbeat_s = 30;  // 0: no heartbeats
   std::uint64_t max_body_bytes = 8U << 20;
-  Duration handshake_timeout = std::chrono::seconds(10);  // from the open connection to connection.open-ok
+  Duration handshake_timeout = std::chrono::seconds(10);  // to open-ok; closes half-open peers
   Duration close_timeout = std::chrono::seconds(2);       // to wait for connection.close-ok
   Table properties;
   // Used by clients only.
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -176,7 +176,7 @@
 Parser::State Parser::on_line(const std::string& line) {
   switch (part_) {
     case Part::kStart:
-      if (line.empty()) {  // RFC 9112, 2.2: skips a few empty lines before a request
+      if (line.empty()) {  // RFC 9112, 2.2: skips up to two empty lines before a request
         if (++header_lines_ > 2) return reject(400, "empty lines in place of a request");
         return State::kNeedMore;
       }
@@ -240,7 +240,7 @@
   if (!is_token(std::string_view(line).substr(0, colon))) return reject(400, "a header's name is no token");
   const std::string_view value = trimmed(std::string_view(line).substr(colon + 1));
   if (!is_field_value(value)) return reject(400, "a control character in a header's value");
-  // Trailer fields are validated and discarded (RFC 9110, 6.5.1).
+  // Trailer fields are validated and discarded: too late to be of use here (RFC 9110, 6.5.1).
   if (!trailer) request_.headers.add(line.substr(0, colon), std::string(value));
   return State::kNeedMore;
 }
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -10,7 +10,7 @@
 namespace laureltide::net {
 
 struct LoopOptions {
-  bool loopback_only = true;  // refuse to listen on or connect to any other address
+  bool loopback_only = true;  // no other addresses, unless a setting allows them
 };
 
 // The event loop of a process. All methods except post() are called on the thread that runs it.
