--- a/src/apps/play.cpp
+++ b/src/apps/play.cpp
@@ -20,7 +20,7 @@
 #include "net/loop.h"
 #include "standin/caller.h"
 #include "standin/day.h"
-#include "standin/invoker.h"
+#include "standin/http_caller.h"
 
 namespace lt = laureltide;
 using lt::standin::Day;
@@ -111,7 +111,7 @@
   r.cold_capacity_share = day.cold_capacity_share, r.cold_for_s = s(day.cold_duration),
   r.overload_multiple = day.overload_multiple;
   r.overload_for_s = s(day.overload_duration), r.worker_cores = day.cores;
-  r.answers_may_repeat = day.confirm_mode || day.acknowledge_on_take;
+  r.allow_repeated_answers = day.confirm_mode || day.acknowledge_on_take;
   r.order_window_s = s(day.order_window), r.order_floor = day.order_floor,
   r.orders_per_call = day.orders_per_call;
   for (const DayClass& c : day.classes) {
@@ -119,7 +119,7 @@
     for (int i = 0; i < c.functions; ++i) r.class_of_function[day.function(c, i)] = c.name;
   }
   for (std::uint32_t id = 1; id <= day.workers; ++id)
-    for (const std::uint32_t w : {id, id + Day::kSuccessor}) {
+    for (const std::uint32_t w : {id, id + Day::kSuccessorIdOffset}) {
       r.rack_of_worker[std::to_string(w)] = "rack-" + std::to_string(id % day.racks);
       r.zone_of_worker[std::to_string(w)] = "room";
     }
@@ -132,7 +132,7 @@
       : day_(std::move(day)),
         day_file_(std::move(day_file)),
         dir_(std::move(dir)),
-        here_(lt::apps::own_directory()),
+        here_(lt::apps::executable_directory()),
         random_(day_.seed),
         tape_(dir_ + "/caller.tape") {}
 
@@ -168,7 +168,7 @@
     command.insert(command.end(), words.begin(), words.end());
     command.insert(command.end(), {"--day", day_file_});
     if (words[0] != "store") command.insert(command.end(), {"--tape", dir_ + "/" + name + ".tape"});
-    standins_.push_back(std::make_unique<lt::apps::Child>(command, dir_ + "/" + name + ".log"));
+    standins_.push_back(std::make_unique<lt::apps::ChildProcess>(command, dir_ + "/" + name + ".log"));
     std::string line;
     if (!standins_.back()->read_line(line, 20s))
       throw std::runtime_error(name + " did not start; see " + dir_);
@@ -188,7 +188,7 @@
       for (std::uint32_t box = 0; box < day_.boxes; ++box) {
         agents.push_back(reserve());
         const std::string name = "box-" + std::to_string(box + 1);
-        standins_.push_back(std::make_unique<lt::apps::Child>(
+        standins_.push_back(std::make_unique<lt::apps::ChildProcess>(
             std::vector<std::string>{here_ + "/laureltide-layers", "--directory", dir_ + "/" + name, "--name",
                                      name, "--store", "127.0.0.1:" + std::to_string(registry), "--port",
                                      std::to_string(agents.back()), "--look-s", "0.3"},
@@ -218,7 +218,7 @@
     };
     for (std::uint32_t id = 1; id <= day_.workers; ++id) {
       worker(id, false);
-      if (day_.has_successor(id)) worker(id + Day::kSuccessor, true);
+      if (day_.has_successor(id)) worker(id + Day::kSuccessorIdOffset, true);
     }
     standin("list", {"list", "--port", std::to_string(list), "--ports", ports});
     std::vector<std::uint16_t> peers;
@@ -230,7 +230,7 @@
       gateways_.push_back(gateway(n));
     }
     if (day_.front == "http") {
-      lt::standin::InvokerOptions o;
+      lt::standin::HttpCallerOptions o;
       for (std::uint32_t n = 0; n < day_.gateways; ++n) {
         o.gateways.push_back({"127.0.0.1", invoke_[n]});
         o.names.push_back("gw-" + std::to_string(n));
@@ -238,7 +238,7 @@
       for (const std::string& tenant : tenants_of(day_)) o.tokens[tenant] = token_of(tenant);
       o.deferred = day_.deferred;
       o.repeat = day_.repeat;
-      invoker_ = std::make_unique<lt::standin::Invoker>(loop_, o, tape_);
+      invoker_ = std::make_unique<lt::standin::HttpCaller>(loop_, o, tape_);
       invoker_->on_answer = [this](const std::string& call, const lt::standin::Caller::Answered& a) {
         if (open_.erase(call) > 0) ++outcomes_[a.outcome];
       };
@@ -250,14 +250,14 @@
       if (open_.erase(call) > 0) ++outcomes_[a.outcome];
     };
   }
-  std::unique_ptr<lt::apps::Child> gateway(std::uint32_t n) {
+  std::unique_ptr<lt::apps::ChildProcess> gateway(std::uint32_t n) {
     const std::string name = dir_ + "/gw-" + std::to_string(n);
     std::vector<std::string> command{
         here_ + "/laureltide", "serve",  "--config",
         name + ".toml",        "--seed", std::to_string(day_.seed * 100 + n + 1)};
     if (n == 0 && deaths_ < day_.die_at.size())
       command.insert(command.end(), {"--die-at", day_.die_at[deaths_]});
-    return std::make_unique<lt::apps::Child>(command, name + ".log");
+    return std::make_unique<lt::apps::ChildProcess>(command, name + ".log");
   }
   // A gateway that killed itself comes back, to die at the next step.
   void look_at_deaths() {
@@ -403,11 +403,11 @@
   std::mt19937_64 random_;
   lt::net::Loop loop_;
   lt::apps::FileTape tape_;
-  std::vector<lt::apps::PortReserve> ports_;
-  std::vector<std::unique_ptr<lt::apps::Child>> standins_, gateways_;
-  std::set<lt::apps::Child*> agents_;  // of the boxes: programs of ours, which play no part
+  std::vector<lt::apps::ReservedPort> ports_;
+  std::vector<std::unique_ptr<lt::apps::ChildProcess>> standins_, gateways_;
+  std::set<lt::apps::ChildProcess*> agents_;  // of the boxes: programs of ours, which play no part
   std::unique_ptr<lt::standin::Caller> caller_;
-  std::unique_ptr<lt::standin::Invoker> invoker_;
+  std::unique_ptr<lt::standin::HttpCaller> invoker_;
   std::vector<std::uint16_t> invoke_;
   std::unique_ptr<lt::standin::Script> script_;
   std::unique_ptr<lt::io::Timer> begin_, next_call_, progress_, death_look_;
@@ -455,12 +455,13 @@
   std::cout << "layers: " << v.versions << " versions of " << v.functions << " functions released, "
             << v.boxes << " boxes fetched " << v.ranges << " ranges, " << v.bytes << " bytes; " << v.runs
             << " runs on a known version, " << v.renewed << " of a later release\n";
-  std::cout << "layers (each chunk once a box): " << (v.once.empty() ? "kept" : "BROKEN") << '\n';
-  for (std::size_t i = 0; i < std::min<std::size_t>(5, v.once.size()); ++i)
-    std::cout << "  " << v.once[i] << '\n';
-  std::cout << "layers (no call on mixed versions): " << (v.mixed.empty() ? "kept" : "BROKEN") << '\n';
-  for (std::size_t i = 0; i < std::min<std::size_t>(5, v.mixed.size()); ++i)
-    std::cout << "  " << v.mixed[i] << '\n';
+  std::cout << "layers (each chunk once a box): " << (v.duplicate_sends.empty() ? "kept" : "BROKEN") << '\n';
+  for (std::size_t i = 0; i < std::min<std::size_t>(5, v.duplicate_sends.size()); ++i)
+    std::cout << "  " << v.duplicate_sends[i] << '\n';
+  std::cout << "layers (no call on mixed versions): " << (v.wrong_versions.empty() ? "kept" : "BROKEN")
+            << '\n';
+  for (std::size_t i = 0; i < std::min<std::size_t>(5, v.wrong_versions.size()); ++i)
+    std::cout << "  " << v.wrong_versions[i] << '\n';
 }
 
 }  // namespace
@@ -482,7 +483,7 @@
   auto day = lt::standin::load_day(file, problems);
   for (const std::string& p : problems) std::cerr << p << '\n';
   if (!day) return 2;
-  std::string dir = keep.empty() ? lt::apps::fresh_directory("laureltide-play-") : keep;
+  std::string dir = keep.empty() ? lt::apps::create_temp_directory("laureltide-play-") : keep;
   std::filesystem::create_directories(dir);
   try {
     std::string played = std::filesystem::absolute(file).string();
@@ -491,7 +492,7 @@
       std::ostringstream text;
       text << in.rdbuf();
       played = dir + "/day.toml";
-      std::ofstream(played) << lt::standin::faster(text.str(), speed);
+      std::ofstream(played) << lt::standin::scale_day_speed(text.str(), speed);
       day = lt::standin::load_day(played, problems);
       if (!day) return 2;
     }
@@ -507,9 +508,14 @@
                                " was passed");
     auto doc = verdict.report();
     if (const auto& l = player.layers())
-      doc["layers"] = {{"once", l->once},   {"mixed", l->mixed},    {"versions", l->versions},
-                       {"boxes", l->boxes}, {"ranges", l->ranges},  {"bytes", l->bytes},
-                       {"runs", l->runs},   {"renewed", l->renewed}};
+      doc["layers"] = {{"once", l->duplicate_sends},
+                       {"mixed", l->wrong_versions},
+                       {"versions", l->versions},
+                       {"boxes", l->boxes},
+                       {"ranges", l->ranges},
+                       {"bytes", l->bytes},
+                       {"runs", l->runs},
+                       {"renewed", l->renewed}};
     if (!report.empty()) std::ofstream(report) << doc.dump(2) << '\n';
     if (keep.empty() && kept) std::filesystem::remove_all(dir);
     if (keep.empty() && !kept) std::cout << "tapes and logs: " << dir << '\n';
