--- a/src/amqp/endpoint.cpp
+++ b/src/amqp/endpoint.cpp
@@ -310,10 +310,10 @@
   timeout_timer_->start(options_.close_timeout);
 }
 
-void Endpoint::on_closed(io::Closed why) {
+void Endpoint::on_closed(io::CloseReason why) {
   if (state_ == State::kClosing) return end(close_reason_);
-  end(why == io::Closed::kNeverOpened ? "no connection"
-      : why == io::Closed::kByPeer    ? "the peer closed the connection"
+  end(why == io::CloseReason::kNeverOpened ? "no connection"
+      : why == io::CloseReason::kByPeer    ? "the peer closed the connection"
                                       : "the connection broke");
 }
 
--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -101,7 +101,7 @@
   if (it == open_calls_.end() || it->second->answered) return;
   ++counters_.abandoned;
   it->second->done = [](Answer) {};
-  finish(*it->second, {Answer::Kind::kFailed, "the client disconnected", {}, {}, {}});
+  finish(*it->second, {Answer::Kind::kFailed, "the client went away", {}, {}, {}});
   notify_module([this, id](Time now) { module_->on(now, RequestAbandoned{RequestId{id}}); });
   // Done even if the settings forbid cancelling: an attempt that still waits for a connection would otherwise
   // start after its client has disconnected.
@@ -200,7 +200,7 @@
   Answer answer;
   answer.kind = kind;
   if (open.attempts.empty()) {
-    answer.reason = "no worker had capacity before the deadline";
+    answer.reason = "no worker had room for it in time";
     return answer;
   }
   const Attempt& last = open.attempts.back();
@@ -248,7 +248,7 @@
   // Rule 2 (a call that may have run is not run again) must hold across a crash: the attempt has to be
   // durable before a worker can see the call.
   open.attempts[number].awaits_ledger = true;
-  open.attempts[number].ledger_index = book_->attempt(
+  open.attempts[number].ledger_index = book_->add_attempt(
       open.call.ledger_key, static_cast<std::uint32_t>(worker), [this, cookie, alive = alive_] {
         if (*alive) dispatch(cookie);
       });
@@ -294,7 +294,7 @@
   call.request_class = settings_->class_names[open.call.function->request_class];
   if (open.call.tenant) call.tenant = settings_->tenant_names[*open.call.tenant];
   to->call(std::move(call), open.call.body, cookie);
-  if (attempt.ledger_index) book_->step("attempt-sent");
+  if (attempt.ledger_index) book_->crash_point("attempt-sent");
 }
 
 void Core::cancel(RequestId request, AttemptNumber attempt) {
@@ -348,11 +348,11 @@
   if (attempt.awaits_ledger) {  // whatever the outcome, it was never sent
     if (end.outcome == Outcome::kTimeout) end.outcome = Outcome::kNotRun;
     attempt.awaits_ledger = false;
-    book_->never_ran(open.call.ledger_key, *attempt.ledger_index);
+    book_->mark_never_ran(open.call.ledger_key, *attempt.ledger_index);
   } else if (attempt.ledger_index &&
              (end.outcome == Outcome::kFull || end.outcome == Outcome::kMiss ||
               end.outcome == Outcome::kConnectFailed || end.outcome == Outcome::kNotRun)) {
-    book_->never_ran(open.call.ledger_key, *attempt.ledger_index);
+    book_->mark_never_ran(open.call.ledger_key, *attempt.ledger_index);
   }
   attempt.outcome = end.outcome;
   attempt.ended_at = host_.now();
@@ -365,7 +365,7 @@
     answer.body = stream || !open.streamed_body.empty() ? std::move(open.streamed_body) + end.body
                                                         : std::move(end.body);
     if (answer.body.size() > settings_->gateway.max_body_bytes)
-      answer = {Answer::Kind::kFailed, "the result is longer than the gateway's limit", {}, {}, {}};
+      answer = {Answer::Kind::kFailed, "the result is longer than the gateway passes on", {}, {}, {}};
     finish(open, std::move(answer));
   } else if (stream && !open.answered) {  // a started stream cannot continue on another attempt
     finish(open, unserved_answer(open, Answer::Kind::kFailed));
@@ -488,7 +488,7 @@
     created = make_ltwp_link(worker, member->address);
   worker::WorkerLink* made = created.get();
   if (it != links_.end())
-    dead_links_.bury(std::exchange(it->second, std::move(created)));
+    dead_links_.delete_later(std::exchange(it->second, std::move(created)));
   else
     links_[worker] = std::move(created);
   return made;
@@ -509,7 +509,7 @@
     const members::Member* member = worker_list_.find(it->first);
     const bool gone = !member || member->state == WorkerState::kGone;
     if (gone && it->second->idle()) {
-      dead_links_.bury(std::move(it->second));
+      dead_links_.delete_later(std::move(it->second));
       it = links_.erase(it);
     } else {
       ++it;
@@ -537,7 +537,7 @@
     const members::Member* m = worker_list_.find(id);
     const auto link = links_.find(id);
     if (!m || m->started_unix_ms == before || link == links_.end() || !link->second->idle()) continue;
-    dead_links_.bury(std::move(link->second));
+    dead_links_.delete_later(std::move(link->second));
     links_.erase(link);
   }
   prune_links();
--- a/src/controller/core.h
+++ b/src/controller/core.h
@@ -18,7 +18,7 @@
 
 #include "base/io.h"
 #include "config/settings.h"
-#include "ledger/book.h"
+#include "ledger/call_ledger.h"
 #include "members/list.h"
 #include "worker/worker_link.h"
 
@@ -92,7 +92,7 @@
   struct Options {
     std::uint64_t seed = 1;
     std::uint32_t first_request_id = 1;  // ids wrap around; tests start close to the end
-    ledger::Book* book = nullptr;        // outlives the core
+    ledger::CallLedger* book = nullptr;  // outlives the core
     // Creates the port to a worker; absent: worker::Link, which speaks the project's own protocol.
     std::function<std::unique_ptr<worker::WorkerLink>(WorkerId, const io::Address&, worker::LinkEvents&)>
         port = {};
@@ -233,7 +233,7 @@
   Options options_;
   std::shared_ptr<const config::Settings> settings_;
   CoreEvents& events_;
-  ledger::Book* book_;
+  ledger::CallLedger* book_;
   members::WorkerList worker_list_;
   std::int64_t started_unix_ms_;
   Duration wall_to_steady_offset_{};
@@ -245,7 +245,7 @@
   Calls open_calls_;
   std::uint32_t next_request_;
   std::map<WorkerId, std::unique_ptr<worker::WorkerLink>> links_;
-  io::Graveyard<worker::WorkerLink> dead_links_;
+  io::DeferredDeleter<worker::WorkerLink> dead_links_;
   std::unordered_map<std::uint64_t, Order> orders_;
   std::uint64_t next_order_ = 1;
   std::priority_queue<TimerEntry> timers_;
--- a/src/controller/gateway.cpp
+++ b/src/controller/gateway.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kDrainCheckInterval = std::chrono::milliseconds(20);
 
 Gateway::Gateway(io::Host& host, std::shared_ptr<const config::Settings> settings, GatewayEvents& events,
-                 std::uint64_t seed, std::uint32_t first_request_id, ledger::Book* book)
+                 std::uint64_t seed, std::uint32_t first_request_id, ledger::CallLedger* book)
     : host_(host),
       settings_(std::move(settings)),
       events_(events),
@@ -36,7 +36,7 @@
     book_->on_state = [this](bool healthy) {
       events_.on_log_line(
           healthy ? LogLevel::kInfo : LogLevel::kError,
-          healthy ? "ledger: writable again" : "ledger: cannot be written: " + book_->trouble());
+          healthy ? "ledger: writable again" : "ledger: cannot be written: " + book_->write_error());
     };
   if (settings_->list.service) {
     list_subscriber_ = std::make_unique<members::ListSubscriber>(
--- a/src/controller/invoke.cpp
+++ b/src/controller/invoke.cpp
@@ -34,7 +34,7 @@
 }  // namespace
 
 InvokeFront::InvokeFront(io::Host& host, Core& core, const config::Settings& settings, Log log,
-                         ledger::Book* book)
+                         ledger::CallLedger* book)
     : host_(host),
       core_(core),
       options_(settings.invoke),
@@ -144,20 +144,20 @@
   if (tenant) return tenant;
   http::Headers headers;
   headers.add("WWW-Authenticate", authorization ? "Bearer error=\"invalid_token\"" : "Bearer");
-  respond_with_problem(ticket, 401, "a bearer token of a tenant is required", std::move(headers));
+  respond_with_problem(ticket, 401, "a bearer key of a tenant is needed", std::move(headers));
   return std::nullopt;
 }
 
 void InvokeFront::on_request(Ticket ticket, http::Request request) {
   const auto target = http::split_target(request.target);
-  if (!target) return respond_with_problem(ticket, 400, "the request target is not a valid path");
+  if (!target) return respond_with_problem(ticket, 400, "the target is no path, or is badly encoded");
   const std::vector<std::string>& path = target->path;
   const bool read = request.method == "GET" || request.method == "HEAD";
   auto allow_only = [&](bool allowed, const char* methods) {
     if (allowed) return true;
     http::Headers headers;
     headers.add("Allow", methods);
-    respond_with_problem(ticket, 405, "allowed methods: " + std::string(methods), std::move(headers));
+    respond_with_problem(ticket, 405, "the methods here are " + std::string(methods), std::move(headers));
     return false;
   };
   if (path.size() == 2 && path[0] == "v1" && path[1] == "openapi.json") {
@@ -175,7 +175,7 @@
     if (!allow_only(read || request.method == "DELETE", "GET, HEAD, DELETE")) return;
     return handle_show_call(ticket, request, path[2]);
   }
-  respond_with_problem(ticket, 404, "not found; see /v1/openapi.json");
+  respond_with_problem(ticket, 404, "nothing is here; see /v1/openapi.json");
 }
 
 void InvokeFront::handle_call(Ticket ticket, const http::Request& request, const std::string& function) {
@@ -298,7 +298,7 @@
       // The failure is recorded, so that a repeated request gets the same answer.
       Answer failed{Answer::Kind::kFailed, found.reason, {}, {}, {}};
       book_->answer(record_key, to_ledger(failed), [] {});
-      book_->delivered(record_key, ledger::Delivered::kKept, ms(options_.keep));
+      book_->delivered(record_key, ledger::AfterDelivery::kKeepAnswer, ms(options_.keep));
       return respond_with_answer(ticket, id, failed);
     }
     case KeyDecision::Kind::kRun:
@@ -307,17 +307,17 @@
   if (draining_) {
     http::Headers headers;
     headers.add("Retry-After", "1");
-    return respond_with_problem(ticket, 503, "the gateway is shutting down", std::move(headers));
+    return respond_with_problem(ticket, 503, "the gateway is about to stop", std::move(headers));
   }
   if (recorded) {
     http::Headers headers;
     headers.add("Retry-After", "1");
-    if (const std::string why = book_->closed(); !why.empty())
+    if (const std::string why = book_->refusal_reason(); !why.empty())
       return respond_with_problem(ticket, 503, why, std::move(headers));
-    const ledger::Book::Usage usage = book_->usage(front(parsed.tenant));
+    const ledger::CallLedger::Usage usage = book_->usage(front(parsed.tenant));
     if (usage.records >= options_.max_deferred || usage.bytes >= options_.max_deferred_mb << 20)
-      return respond_with_problem(ticket, 429, "the tenant has reached its limit of deferred and named calls",
-                                  std::move(headers));
+      return respond_with_problem(
+          ticket, 429, "the tenant's deferred and named calls hold as much as they may", std::move(headers));
   }
   OpenCall& open = open_calls_[id];
   open.tenant = parsed.tenant, open.digest = parsed.digest, open.recorded = recorded,
@@ -398,7 +398,7 @@
     if (!record->callback.empty()) return start_callback(id, tenant);
     // A refused call did not run: a repeat with the same key runs, so no record is needed.
     if (!deferred && answer.kind == Answer::Kind::kRefused) return book_->forget(record_key);
-    book_->delivered(record_key, ledger::Delivered::kKept, ms(options_.keep));
+    book_->delivered(record_key, ledger::AfterDelivery::kKeepAnswer, ms(options_.keep));
   };
   if (!it->second.recorded) return deliver();
   book_->answer(key(tenant, id), to_ledger(answer), [deliver, alive = alive_] {
@@ -439,16 +439,16 @@
   const ledger::Record* record = book_ ? book_->find(key(*tenant, id)) : nullptr;
   if (record && record->answer) return respond_with_answer(ticket, id, from_ledger(*record->answer));
   if (record && record->owed) return respond_pending(ticket, id);
-  respond_with_problem(ticket, 404, "no such call, or its answer has expired: " + id);
+  respond_with_problem(ticket, 404, "no such call, or its answer is not kept any more: " + id);
 }
 
 void InvokeFront::handle_forget_call(Ticket ticket, const std::string& id, std::uint32_t tenant) {
   const std::string record_key = book_ ? key(tenant, id) : "";
   const ledger::Record* record = book_ ? book_->find(record_key) : nullptr;
-  if (!record) return respond_with_problem(ticket, 404, "no such call, or its answer has expired: " + id);
+  if (!record)
+    return respond_with_problem(ticket, 404, "no such call, or its answer is not kept any more: " + id);
   if (open_calls_.contains(id) || !record->answer || callbacks_.contains(id))
-    return respond_with_problem(ticket, 409,
-                                "the call is not finished; its answer can be deleted afterwards");
+    return respond_with_problem(ticket, 409, "the call is not over: its answer can be dropped once it is");
   book_->forget(record_key);
   http::Response response;
   response.status = 204;
@@ -491,7 +491,7 @@
                          {"outcome", text_of(answer.kind)},
                          {"call", c.id}});
   }
-  book_->step("callback-given");
+  book_->crash_point("callback-given");
   c.exchange = std::make_unique<http::Exchange>(
       host_, url->address, request, kCallbackTimeout, http::Limits{},
       [this, id = c.id](const http::Exchange::Result& r) {
@@ -514,8 +514,8 @@
   const auto it = callbacks_.find(id);
   if (it == callbacks_.end()) return;
   // Even if the callback failed, the answer can still be polled.
-  book_->delivered(key(it->second->tenant, id), ledger::Delivered::kKept, ms(options_.keep));
-  finished_callbacks_.bury(std::move(it->second));
+  book_->delivered(key(it->second->tenant, id), ledger::AfterDelivery::kKeepAnswer, ms(options_.keep));
+  finished_callbacks_.delete_later(std::move(it->second));
   callbacks_.erase(it);
   if (callback_queue_.empty()) return;
   const auto [next, tenant] = callback_queue_.front();
@@ -528,7 +528,7 @@
 void InvokeFront::recover_owed_calls() {
   for (std::uint32_t t = 0; t < tenant_names_.size(); ++t)
     for (const std::string& found : book_->owed(front(t))) {
-      book_->step("owed-found");
+      book_->crash_point("owed-found");
       backlog_.emplace_back(t, ledger::split_key(found).second);
     }
   if (!backlog_.empty())
@@ -550,7 +550,7 @@
       if (!record->callback.empty())
         start_callback(id, tenant);
       else
-        book_->delivered(record_key, ledger::Delivered::kKept, ms(options_.keep));
+        book_->delivered(record_key, ledger::AfterDelivery::kKeepAnswer, ms(options_.keep));
       continue;
     }
     OpenCall& open = open_calls_[id];
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -23,7 +23,7 @@
     if (!ended_ && ticket_ != 0 && buffer_.size() > kMaxBufferedBytes) stream_->read(reading_ = false);
     return bytes.size();
   }
-  void on_closed(io::Closed) override { on_disconnect(); }
+  void on_closed(io::CloseReason) override { on_disconnect(); }
 
   void respond(Response response) {
     const bool head_only = std::exchange(head_only_, false);
@@ -167,7 +167,7 @@
   if (it == connections_.end()) return;
   auto removed = std::move(it->second);
   connections_.erase(it);
-  dead_.bury(std::move(removed));
+  dead_.delete_later(std::move(removed));
 }
 
 }  // namespace laureltide::http
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -134,7 +134,7 @@
   ConnectionBudget& budget_;
   worker::LinkEvents& events_;
   std::vector<std::unique_ptr<InvokerConnection>> connections_;
-  io::Graveyard<InvokerConnection> closed_;
+  io::DeferredDeleter<InvokerConnection> closed_;
   std::map<Key, Pending> pending_;
   Duration idle_limit_{};  // when last learned; zero: never
   Time idle_limit_learned_at_{};
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -19,7 +19,7 @@
   RawClient(sim::Network& n, const io::Address& to) : net(n) { c = net.connect(to, {}, *this); }
   void on_open() override { open = true; }
   std::size_t on_bytes(std::string_view b) override { return received += b, b.size(); }
-  void on_closed(io::Closed) override { closed = true; }
+  void on_closed(io::CloseReason) override { closed = true; }
   void send(const std::string& text) {
     net.run_until([&] { return open || closed; });
     if (!closed) c->write(text);
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -22,7 +22,7 @@
     received += bytes;
     return bytes.size();
   }
-  void on_closed(io::Closed) override { ++closed; }
+  void on_closed(io::CloseReason) override { ++closed; }
 };
 
 TEST(Loop, CanBeDestroyedWithPendingConnectFailure) {
