--- a/src/check/judge.h
+++ b/src/check/judge.h
@@ -1,5 +1,6 @@
-// Judges the five rules from traffic alone: what clients, broker, list and workers noted at their sockets.
-// It shares no code with the controller or the stand-ins; a tape is lines of JSON (docs/days.md).
+// Checks the five rules from recorded traffic alone: what clients, the broker, the worker list and the
+// workers recorded at their sockets. It shares no code with the controller or the test servers. A recording
+// consists of JSON lines (docs/days.md).
 #pragma once
 
 #include <cstdint>
@@ -12,7 +13,7 @@
 
 struct ClassRule {
   std::string effect;         // repeatable, keyed, once
-  std::string group = "all";  // keyed: who drops repeats
+  std::string group = "all";  // keyed: the group of workers that drops duplicates
   double repeat_window_s = 0;
   double work_s = 0.05;  // mean work of a call, for rule 4
 };
@@ -20,36 +21,37 @@
 struct Rules {
   double drain_grace_s = 1, answer_grace_s = 0.5;
   double cold_capacity_share = 1, cold_for_s = 0, overload_multiple = 0, overload_for_s = 1, worker_cores = 1;
-  // Answers are given at least once, not exactly once: one that is the same, by its own id, may come again.
+  // At-least-once answers: an identical answer with the same answer id may arrive again.
   bool allow_repeated_answers = false;
   double order_window_s = 0, order_floor = 0, orders_per_call = 0;
   std::map<std::string, ClassRule> classes;
   std::map<std::string, std::string> class_of_function;
-  std::map<std::string, std::string> rack_of_worker, zone_of_worker;  // by the worker's number as text
-  // Between two programs' notes of one moment: a note is written when a program reads, not when bytes arrive.
+  std::map<std::string, std::string> rack_of_worker, zone_of_worker;  // key: the worker's number as text
+  // Tolerance between the records of two programs: a program records a message when it reads it, not when the
+  // bytes arrive.
   double slack_s = 0.25;
 };
 
-struct Break {
+struct Violation {
   int rule = 0;
-  std::string what;  // with call, worker and times
+  std::string what;  // names the call, the worker and the times
 };
 
 struct ClassCount {
-  std::uint64_t sent = 0, served = 0, refused = 0, failed = 0, untaken = 0;
-  std::vector<double> latency_s;  // of served ones
+  std::uint64_t sent = 0, served = 0, refused = 0, failed = 0, unanswered = 0;
+  std::vector<double> latency_s;  // of served calls
 };
 
 struct Verdict {
-  std::vector<Break> breaks;
+  std::vector<Violation> violations;
   std::map<std::string, ClassCount> classes;
   std::uint64_t calls = 0, taken = 0, attempts = 0, runs = 0, holds = 0, redelivered = 0, repeated = 0,
                 asked_again = 0;
-  bool kept() const { return breaks.empty(); }
+  bool kept() const { return violations.empty(); }
   nlohmann::json report() const;
 };
 
-// `tape`: objects with t (ns of one clock), e (what), and the fields of docs/days.md; any order.
-Verdict judge(const Rules& rules, std::vector<nlohmann::json> tape);
+// `recording`: objects with t (ns of one clock), e (what), and the fields of docs/days.md; any order.
+Verdict judge(const Rules& rules, std::vector<nlohmann::json> recording);
 
 }  // namespace laureltide::check
--- a/src/check/layers.cpp
+++ b/src/check/layers.cpp
@@ -15,23 +15,23 @@
 
 }  // namespace
 
-LayersVerdict judge_layers(const std::vector<nlohmann::json>& tape) {
+LayersVerdict judge_layers(const std::vector<nlohmann::json>& recording) {
   LayersVerdict v;
   std::map<std::string, Released> versions;
   std::set<std::string> blobs, functions;
   std::map<std::pair<std::string, std::string>, std::map<std::uint64_t, std::uint64_t>>
-      sent;  // box, blob: from, to
+      sent;  // (host, blob) to ranges: begin, end
   std::set<std::string> boxes;
-  for (const auto& note : tape)
+  for (const auto& note : recording)
     if (note.value("e", "") == "release") {
       versions[note.at("version")] = {note.at("function"), note.at("release"), note.at("layers")};
       blobs.insert(note.at("blob").get<std::string>());
       functions.insert(note.at("function").get<std::string>());
     }
   v.versions = versions.size(), v.functions = functions.size();
-  for (const auto& note : tape) {
-    const std::string what = note.value("e", "");
-    if (what == "store-sent") {
+  for (const auto& note : recording) {
+    const std::string event = note.value("e", "");
+    if (event == "store-sent") {
       const std::string box = note.at("to"), said = note.at("what");
       const std::size_t space = said.find(' ');
       unsigned long long from = 0, to = 0;
@@ -49,7 +49,7 @@
         v.duplicate_sends.push_back(box + " was sent bytes " + std::to_string(from) + " to " +
                                     std::to_string(to) + " of " + blob + " again");
       ranges[from] = std::max<std::uint64_t>(to, ranges[from]);
-    } else if (what == "ran") {
+    } else if (event == "ran") {
       const std::string who = "worker " + std::to_string(note.value("worker", 0)) + " ran call " +
                               note.value("call", "") + " of " + note.value("function", "");
       const auto it = versions.find(note.value("version", ""));
--- a/src/check/layers.h
+++ b/src/check/layers.h
@@ -1,5 +1,5 @@
-// Judges chunked layers from traffic alone: what the store sent to whom, and what the workers read and ran.
-// It shares no code with the agent, the workers or the store.
+// Checks chunked function layers from recorded traffic alone: what the registry sent to which host, and which
+// layers the workers loaded and ran. It shares no code with the agent, the workers or the registry.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,15 +9,15 @@
 namespace laureltide::check {
 
 struct LayersVerdict {
-  std::vector<std::string> duplicate_sends;  // bytes that a box was sent more than once
-  std::vector<std::string>
-      wrong_versions;  // calls that ran on anything but one released version, as released
+  std::vector<std::string> duplicate_sends;  // byte ranges sent to the same host more than once
+  // Calls that ran on anything but the unmodified layers of one released version.
+  std::vector<std::string> wrong_versions;
   std::size_t versions = 0, functions = 0, boxes = 0, ranges = 0, runs = 0, renewed = 0;
   std::uint64_t bytes = 0;
   bool kept() const { return duplicate_sends.empty() && wrong_versions.empty(); }
 };
 
-// `tape`: objects as docs/days.md has them; the notes are `release`, `store-sent` and `ran`.
-LayersVerdict judge_layers(const std::vector<nlohmann::json>& tape);
+// `recording`: the events of docs/days.md; `release`, `store-sent` and `ran` are evaluated.
+LayersVerdict judge_layers(const std::vector<nlohmann::json>& recording);
 
 }  // namespace laureltide::check
--- a/src/layers/agent.cpp
+++ b/src/layers/agent.cpp
@@ -8,12 +8,12 @@
 namespace laureltide::layers {
 namespace {
 
-constexpr Duration kSweepEvery = std::chrono::seconds(1);
-constexpr std::uint8_t kRecordLayout = 1;
+constexpr Duration kLeaseCheckInterval = std::chrono::seconds(1);
+constexpr std::uint8_t kRecordFormatVersion = 1;
 
-std::uint64_t number_of(std::string_view text) { return std::hash<std::string_view>{}(text); }
+std::uint64_t hash_of(std::string_view text) { return std::hash<std::string_view>{}(text); }
 
-void put(Writer& w, std::string_view text) {
+void write_text(Writer& w, std::string_view text) {
   w.u32(static_cast<std::uint32_t>(text.size()));
   w.bytes(text);
 }
@@ -25,19 +25,19 @@
   return slash == std::string::npos ? "" : function.substr(0, slash);
 }
 
-Agent::Agent(io::Host& host, Disk& disk, Remote& remote, AgentOptions options, Log log)
+Agent::Agent(io::Host& host, Disk& disk, RemoteStore& remote, AgentOptions options, Log log)
     : host_(host),
       disk_(disk),
       remote_(remote),
       options_(std::move(options)),
       log_(std::move(log)),
-      shelf_(options_.capacity),
+      cache_(options_.capacity),
       scheduler_(options_.scheduler, host.random()),
-      turn_(host.timer([this] { turn(); })),
-      sweep_(host.timer([this] { sweep(); })) {
+      fetch_timer_(host.timer([this] { start_fetches(); })),
+      lease_timer_(host.timer([this] { expire_leases(); })) {
   scheduler_.set_replicas(0, options_.replicas);
   recover();
-  sweep_->start(kSweepEvery);
+  lease_timer_->start(kLeaseCheckInterval);
 }
 Agent::~Agent() { *alive_ = false; }
 
@@ -45,56 +45,57 @@
 
 std::string Agent::record_name(const VersionName& name) { return name.first + "\n" + name.second.text(); }
 
-void Agent::record(const Version& v) {
+void Agent::save_record(const Version& v) {
   std::string bytes;
   Writer w(bytes);
-  w.u8(kRecordLayout);
-  put(w, v.function), put(w, v.manifest_bytes);
+  w.u8(kRecordFormatVersion);
+  write_text(w, v.function), write_text(w, v.manifest_bytes);
   w.u32(static_cast<std::uint32_t>(v.index_bytes.size()));
-  for (const std::string& index : v.index_bytes) put(w, index);
+  for (const std::string& index : v.index_bytes) write_text(w, index);
   disk_.put(record_name(v.name), std::move(bytes));
 }
 
-// A version comes back whole if all its chunks are here; none of them is believed before its digest was
-// checked. What does not fit is forgotten: it is fetched again when it is asked for.
+// A recorded version is complete again if all its chunks are on disk; each chunk's digest is verified before
+// first use. Records that do not match are erased and the version is fetched again on request.
 void Agent::recover() {
-  const Disk::Found found = disk_.load();
-  std::uint64_t over = 0;
+  const Disk::LoadedState found = disk_.load();
+  std::uint64_t over_capacity = 0;
   for (const auto& chunk : found.chunks) {
-    if (shelf_.bytes() + chunk.size > shelf_.capacity()) {  // the bound was lowered
+    if (cache_.bytes() + chunk.size > cache_.capacity()) {  // the capacity was lowered
       disk_.remove(chunk.key);
-      ++over;
+      ++over_capacity;
       continue;
     }
-    shelf_.found(chunk.key, chunk.size);
+    cache_.restore(chunk.key, chunk.size);
   }
-  if (found.dropped + over > 0)
-    log_(true, "layers: " + std::to_string(found.dropped) + " half-written or unknown chunks dropped, " +
-                   std::to_string(over) + " over the bound");
+  if (found.dropped + over_capacity > 0)
+    log_(true, "layers: " + std::to_string(found.dropped) + " partial or unknown chunks dropped, " +
+                   std::to_string(over_capacity) + " over the capacity");
   for (const auto& [name, bytes] : found.records) {
     Reader r(bytes);
-    const bool known = r.u8() == kRecordLayout;
+    const bool known = r.u8() == kRecordFormatVersion;
     const std::string function_name(r.take(r.u32()));
     auto v = std::make_unique<Version>();
     v->manifest_bytes = r.take(r.u32());
     std::string why;
     auto manifest = known && r.ok() ? parse_manifest(v->manifest_bytes, why) : std::nullopt;
     const std::uint32_t count = r.u32();
-    bool well = manifest && r.ok() && count == manifest->layers.size() && manifest->function == function_name;
+    bool valid =
+        manifest && r.ok() && count == manifest->layers.size() && manifest->function == function_name;
     std::set<Key> keys;
     const std::string domain = domain_of(function_name);
-    for (std::uint32_t i = 0; well && i < count; ++i) {
+    for (std::uint32_t i = 0; valid && i < count; ++i) {
       std::string index_bytes(r.take(r.u32()));
       auto index = r.ok() && digest_of(index_bytes) == manifest->layers[i].index
                        ? parse_index(index_bytes, why)
                        : std::nullopt;
-      well = index.has_value();
-      if (!well) break;
+      valid = index.has_value();
+      if (!valid) break;
       for (const Chunk& c : index->chunks) keys.insert(key_of(domain, c.content));
       v->index_bytes.push_back(std::move(index_bytes));
       v->indexes.push_back(std::move(*index));
     }
-    Function* f = well ? function(function_name) : nullptr;
+    Function* f = valid ? function(function_name) : nullptr;
     if (!f) {
       disk_.erase(name);
       continue;
@@ -103,105 +104,107 @@
     v->function = function_name;
     v->manifest = std::move(*manifest);
     v->keys.assign(keys.begin(), keys.end());
-    v->state = Version::State::kWhole;
-    const bool whole = std::all_of(v->keys.begin(), v->keys.end(), [&](const Key& key) {
-      return shelf_.standing(key) != Shelf::Standing::kAbsent;
+    v->state = Version::State::kComplete;
+    const bool on_version_complete = std::all_of(v->keys.begin(), v->keys.end(), [&](const Key& key) {
+      return cache_.state(key) != ChunkCache::State::kAbsent;
     });
-    if (!whole) v->state = Version::State::kChunks;
-    if (!f->wanted || v->manifest.release > f->release)
-      f->release = v->manifest.release, f->wanted = v->name.second;
+    if (!on_version_complete) v->state = Version::State::kChunks;
+    if (!f->latest || v->manifest.release > f->release)
+      f->release = v->manifest.release, f->latest = v->name.second;
     const auto current = f->current ? versions_.find({domain, *f->current}) : versions_.end();
-    if (whole && (current == versions_.end() || v->manifest.release > current->second->manifest.release))
+    if (on_version_complete &&
+        (current == versions_.end() || v->manifest.release > current->second->manifest.release))
       f->current = v->name.second;
     versions_[v->name] = std::move(v);
   }
   std::vector<VersionName> names;
   for (const auto& [name, v] : versions_) names.push_back(name);
-  for (const VersionName& name : names) let_go(name);  // what was only pinned
+  for (const VersionName& name : names) release_if_unused(name);  // drops versions that were only pinned
   if (!versions_.empty())
     log_(false, "layers: " + std::to_string(versions_.size()) + " versions and " +
-                    std::to_string(shelf_.chunks()) + " chunks are here from before the start");
+                    std::to_string(cache_.chunks()) + " chunks recovered from disk");
 }
 
-// ---- Asks
+// ---- Snapshot requests
 // ---------------------------------------------------------------------------------------------------
 
 Agent::Function* Agent::function(const std::string& name) {
   const auto it = functions_.find(name);
   if (it != functions_.end()) return &it->second;
-  if (!valid_repository(options_.prefix + name) || functions_.size() >= options_.most_functions)
+  if (!valid_repository(options_.prefix + name) || functions_.size() >= options_.max_functions)
     return nullptr;
   Function& f = functions_[name];
   f.name = name, f.domain = domain_of(name);
   f.timer = host_.timer([this, name] {
-    Function& mine = functions_.at(name);
-    if (host_.now() - mine.used > options_.look_for) return;
-    look_now(mine, Level::kRenewal);
+    Function& polled = functions_.at(name);
+    if (host_.now() - polled.last_used > options_.tag_poll_idle_limit) return;
+    fetch_tag(polled, Level::kRenewal);
   });
   return &f;
 }
 
-void Agent::use(Function& f) {
-  const bool slept = f.used == Time{} || host_.now() - f.used > options_.look_for;
-  f.used = host_.now();
-  if (slept && !f.look_job)
+void Agent::mark_used(Function& f) {
+  const bool was_idle = f.last_used == Time{} || host_.now() - f.last_used > options_.tag_poll_idle_limit;
+  f.last_used = host_.now();
+  if (was_idle && !f.tag_job)
     f.timer->start(
         std::chrono::duration_cast<Duration>(options_.tag_poll_interval * (0.5 + host_.random_unit())));
 }
 
-std::uint64_t Agent::ask(Ask ask, Done done) {
-  ++counters_.asks;
+std::uint64_t Agent::request_snapshot(SnapshotRequest request, Done done) {
+  ++counters_.requests;
   const std::uint64_t ticket = next_++;
-  const std::string name = ask.function;
-  const bool crowded = !workers_.contains(ask.worker) && workers_.size() >= options_.most_workers;
-  if (!crowded) renew(ask.worker, ask.life);
-  Waiting& waiting = asks_[ticket];
-  waiting.ask = std::move(ask), waiting.done = std::move(done);
-  if (crowded || asks_.size() > options_.most_asks) {
-    answer(ticket, {NoSnapshot::Kind::kBusy, "too many workers wait for versions"});
+  const std::string name = request.function;
+  const bool too_many_workers = !workers_.contains(request.worker) && workers_.size() >= options_.max_workers;
+  if (!too_many_workers) renew(request.worker, request.incarnation);
+  PendingRequest& pending = pending_[ticket];
+  pending.request = std::move(request), pending.done = std::move(done);
+  if (too_many_workers || pending_.size() > options_.max_requests) {
+    reject(ticket, {SnapshotError::Kind::kBusy, "too many workers or pending requests"});
     return ticket;
   }
   Function* f = function(name);
   if (!f) {
     const bool known = valid_repository(options_.prefix + name);
-    answer(ticket, {known ? NoSnapshot::Kind::kBusy : NoSnapshot::Kind::kBad,
-                    known ? "more functions than the agent may know" : "no name of a function: " + name});
+    reject(ticket, {known ? SnapshotError::Kind::kBusy : SnapshotError::Kind::kInvalid,
+                    known ? "the limit of functions is reached" : "invalid function name: " + name});
     return ticket;
   }
-  use(*f);
-  if (waiting.ask.version) {
-    attach(ticket, version({f->domain, *waiting.ask.version}, name));
-  } else if (f->current) {  // the old one, until the new one stands
+  mark_used(*f);
+  if (pending.request.version) {
+    attach(ticket, version({f->domain, *pending.request.version}, name));
+  } else if (f->current) {  // serves the current version until the latest is complete
     attach(ticket, version({f->domain, *f->current}, name));
-  } else if (f->wanted) {
-    attach(ticket, version({f->domain, *f->wanted}, name));
+  } else if (f->latest) {
+    attach(ticket, version({f->domain, *f->latest}, name));
   } else {
-    f->asks.insert(ticket);
-    look_now(*f, waiting.ask.level);
+    f->waiters.insert(ticket);
+    fetch_tag(*f, pending.request.level);
   }
   return ticket;
 }
 
-void Agent::call_off(std::uint64_t ticket) {
-  const auto it = asks_.find(ticket);
-  if (it == asks_.end()) return;
-  const Waiting gone = std::move(it->second);
-  asks_.erase(it);
-  if (const auto f = functions_.find(gone.ask.function); f != functions_.end()) f->second.asks.erase(ticket);
-  if (!gone.version) return;
-  const auto v = versions_.find(*gone.version);
+void Agent::cancel(std::uint64_t ticket) {
+  const auto it = pending_.find(ticket);
+  if (it == pending_.end()) return;
+  const PendingRequest cancelled_request = std::move(it->second);
+  pending_.erase(it);
+  if (const auto f = functions_.find(cancelled_request.request.function); f != functions_.end())
+    f->second.waiters.erase(ticket);
+  if (!cancelled_request.version) return;
+  const auto v = versions_.find(*cancelled_request.version);
   if (v == versions_.end()) return;
-  v->second->asks.erase(ticket);
-  let_go(*gone.version);
+  v->second->waiters.erase(ticket);
+  release_if_unused(*cancelled_request.version);
 }
 
-void Agent::answer(std::uint64_t ticket, const NoSnapshot& no) {
-  const auto it = asks_.find(ticket);
-  if (it == asks_.end()) return;
-  const Waiting waiting = std::move(it->second);
-  asks_.erase(it);
+void Agent::reject(std::uint64_t ticket, const SnapshotError& error) {
+  const auto it = pending_.find(ticket);
+  if (it == pending_.end()) return;
+  const PendingRequest pending = std::move(it->second);
+  pending_.erase(it);
   ++counters_.refused;
-  waiting.done(std::nullopt, no);
+  pending.done(std::nullopt, error);
 }
 
 Snapshot Agent::snapshot(std::uint64_t ticket, Version& v) {
@@ -223,26 +226,26 @@
 // ---- Tags
 // ---------------------------------------------------------------------------------------------------
 
-void Agent::look(const std::string& name) {
-  if (Function* f = function(name)) use(*f), look_now(*f, Level::kRenewal);
+void Agent::poll_tag(const std::string& name) {
+  if (Function* f = function(name)) mark_used(*f), fetch_tag(*f, Level::kRenewal);
 }
 
-void Agent::look_now(Function& f, Level level) {
+void Agent::fetch_tag(Function& f, Level level) {
   Job fresh;
   fresh.kind = Job::Kind::kTag;
   fresh.function = f.name;
-  fresh.request.kind = RemoteRequest::Kind::kManifest;
+  fresh.request.kind = StoreRequest::Kind::kManifest;
   fresh.request.repository = options_.prefix + f.name;
   fresh.request.reference = options_.tag;
-  fresh.request.size = kMostManifest;
-  f.look_job = job("tag " + f.name, std::move(fresh), nullptr, level).id;
+  fresh.request.size = kMaxManifestBytes;
+  f.tag_job = start_or_join_job("tag " + f.name, std::move(fresh), nullptr, level).id;
 }
 
-void Agent::on_tag(Function& f, std::optional<std::string> bytes, const NoSnapshot& no) {
-  f.look_job.reset();
+void Agent::on_tag_fetched(Function& f, std::optional<std::string> bytes, const SnapshotError& error) {
+  f.tag_job.reset();
   f.timer->start(
       std::chrono::duration_cast<Duration>(options_.tag_poll_interval * (0.5 + host_.random_unit())));
-  const auto asks = std::exchange(f.asks, {});
+  const auto waiters = std::exchange(f.waiters, {});
   std::string why;
   auto manifest = bytes ? parse_manifest(*bytes, why) : std::nullopt;
   if (manifest && manifest->function != f.name) {
@@ -250,21 +253,21 @@
     why = "it is the manifest of another function";
   }
   if (!manifest) {
-    const NoSnapshot reason =
-        bytes ? NoSnapshot{NoSnapshot::Kind::kBad, "the release of " + f.name + " cannot be read: " + why}
-              : no;
-    if (std::exchange(f.trouble, reason.why) != reason.why)
+    const SnapshotError reason = bytes ? SnapshotError{SnapshotError::Kind::kInvalid,
+                                                       "the release of " + f.name + " cannot be read: " + why}
+                                       : error;
+    if (std::exchange(f.last_error, reason.why) != reason.why)
       log_(true, "layers: " + f.name + ": " + reason.why);
-    for (const std::uint64_t ticket : asks) answer(ticket, reason);
+    for (const std::uint64_t ticket : waiters) reject(ticket, reason);
     return;
   }
-  f.trouble.clear();
+  f.last_error.clear();
   const Digest digest = digest_of(*bytes);
-  // A release goes forward by its number, also one that brings old layers back; a replica that lags behind
-  // does not undo it.
-  if (!f.wanted || manifest->release > f.release) {
-    const auto old = f.wanted;
-    f.wanted = digest;
+  // Release numbers only increase, also when a release restores old layers, so a lagging replica cannot undo
+  // a release.
+  if (!f.latest || manifest->release > f.release) {
+    const auto old = f.latest;
+    f.latest = digest;
     f.release = manifest->release;
     log_(false, "layers: " + f.name + ": release " + std::to_string(f.release) + " is " + digest.text());
     Version& v = version({f.domain, digest}, f.name);
@@ -274,25 +277,25 @@
       v.manifest = std::move(*manifest);
       v.state = Version::State::kIndexes;
       for (const std::uint64_t id : std::exchange(v.jobs, {}))
-        leave(id, v.name);  // its manifest came this way
-      want_indexes(v);
+        detach_from_job(id, v.name);  // the tag's answer contains the manifest
+      fetch_indexes(v);
     } else {
       advance(v);
     }
-    if (old && old != digest) {  // overtaken: what nobody asked for is no longer fetched
+    if (old && old != digest) {  // superseded: stop fetching it unless a request waits
       if (const auto it = versions_.find({f.domain, *old}); it != versions_.end()) {
         it->second->background = false;
-        let_go(it->first);
+        release_if_unused(it->first);
       }
     }
-    news();
-  } else if (digest == f.wanted && f.current != f.wanted) {  // half fetched by an earlier life, or failed
+    notify_change();
+  } else if (digest == f.latest && f.current != f.latest) {  // incomplete since a restart, or failed
     Version& v = version({f.domain, digest}, f.name);
     if (!std::exchange(v.background, true)) advance(v);
   }
-  for (const std::uint64_t ticket : asks)
-    if (asks_.contains(ticket))
-      attach(ticket, version({f.domain, f.current ? *f.current : *f.wanted}, f.name));
+  for (const std::uint64_t ticket : waiters)
+    if (pending_.contains(ticket))
+      attach(ticket, version({f.domain, f.current ? *f.current : *f.latest}, f.name));
 }
 
 // ---- Versions
@@ -308,20 +311,21 @@
 
 Level Agent::level_of(const Version& v) const {
   Level level = v.background ? Level::kRenewal : Level::kPrefetch;
-  for (const std::uint64_t ticket : v.asks)
-    if (const auto it = asks_.find(ticket); it != asks_.end()) level = std::min(level, it->second.ask.level);
+  for (const std::uint64_t ticket : v.waiters)
+    if (const auto it = pending_.find(ticket); it != pending_.end())
+      level = std::min(level, it->second.request.level);
   return level;
 }
 
 void Agent::attach(std::uint64_t ticket, Version& v) {
-  Waiting& waiting = asks_.at(ticket);
-  waiting.version = v.name;
-  v.asks.insert(ticket);
-  raise(v);
+  PendingRequest& pending = pending_.at(ticket);
+  pending.version = v.name;
+  v.waiters.insert(ticket);
+  raise_level(v);
   advance(v);
 }
 
-// From whatever state it is in to the next thing it lacks.
+// Starts the fetches for the next missing part of the version.
 void Agent::advance(Version& v) {
   if (!v.jobs.empty()) return;
   switch (v.state) {
@@ -329,70 +333,71 @@
       Job fresh;
       fresh.kind = Job::Kind::kManifest;
       fresh.expected = v.name.second;
-      fresh.request.kind = RemoteRequest::Kind::kManifest;
+      fresh.request.kind = StoreRequest::Kind::kManifest;
       fresh.request.repository = options_.prefix + v.function;
       fresh.request.reference = v.name.second.text();
-      fresh.request.size = kMostManifest;
-      job("manifest " + v.function + " " + v.name.second.hex(), std::move(fresh), &v, level_of(v));
+      fresh.request.size = kMaxManifestBytes;
+      start_or_join_job("manifest " + v.function + " " + v.name.second.hex(), std::move(fresh), &v,
+                        level_of(v));
       return;
     }
-    case Version::State::kIndexes: return want_indexes(v);
+    case Version::State::kIndexes: return fetch_indexes(v);
     case Version::State::kChunks:
-    case Version::State::kWhole: return want_chunks(v);
+    case Version::State::kComplete: return fetch_chunks(v);
   }
 }
 
-void Agent::want_indexes(Version& v) {
+void Agent::fetch_indexes(Version& v) {
   v.index_bytes.resize(v.manifest.layers.size());
   v.indexes.resize(v.manifest.layers.size());
-  v.left = 0;
+  v.remaining = 0;
   const Level level = level_of(v);
-  std::set<Digest> wanted;
+  std::set<Digest> requested;
   for (std::size_t i = 0; i < v.manifest.layers.size(); ++i) {
     const LayerRef& layer = v.manifest.layers[i];
-    if (!v.index_bytes[i].empty() || !wanted.insert(layer.index).second) continue;
+    if (!v.index_bytes[i].empty() || !requested.insert(layer.index).second) continue;
     Job fresh;
     fresh.kind = Job::Kind::kIndex;
     fresh.expected = layer.index;
-    fresh.request.kind = RemoteRequest::Kind::kBlob;
+    fresh.request.kind = StoreRequest::Kind::kBlob;
     fresh.request.repository = options_.prefix + v.function;
     fresh.request.reference = layer.index.text();
     fresh.request.size = static_cast<std::size_t>(layer.index_size);
-    job("index " + v.function + " " + layer.index.hex(), std::move(fresh), &v, level);
+    start_or_join_job("index " + v.function + " " + layer.index.hex(), std::move(fresh), &v, level);
   }
   if (v.jobs.empty()) {
     v.state = Version::State::kChunks;
-    want_chunks(v);
+    fetch_chunks(v);
   }
 }
 
-void Agent::hold(Version& v, bool on) {
-  if (v.held == on) return;
-  v.held = on;
-  on ? shelf_.hold(v.keys) : shelf_.release(v.keys);
+void Agent::set_retained(Version& v, bool on) {
+  if (v.chunks_retained == on) return;
+  v.chunks_retained = on;
+  on ? cache_.retain(v.keys) : cache_.release(v.keys);
 }
 
-void Agent::want_chunks(Version& v) {
+void Agent::fetch_chunks(Version& v) {
   if (v.keys.empty()) {
     std::set<Key> keys;
     for (const Index& index : v.indexes)
       for (const Chunk& c : index.chunks) keys.insert(key_of(v.name.first, c.content));
     v.keys.assign(keys.begin(), keys.end());
   }
-  hold(v, true);
-  // Can it be whole at all beside what is pinned? Better said now than after half of it was fetched.
+  set_retained(v, true);
+  // Fails early if the version cannot fit next to the retained chunks, instead of after half of the download.
   std::uint64_t lacking = 0;
   std::set<Key> seen;
   for (const Index& index : v.indexes)
     for (const Chunk& c : index.chunks) {
       const Key key = key_of(v.name.first, c.content);
-      if (shelf_.standing(key) == Shelf::Standing::kAbsent && seen.insert(key).second) lacking += c.size;
+      if (cache_.state(key) == ChunkCache::State::kAbsent && seen.insert(key).second) lacking += c.size;
     }
-  if (shelf_.bytes() - shelf_.loose() + lacking > shelf_.capacity())
-    return fail(v.name,
-                {NoSnapshot::Kind::kRoom, "the disk holds " + std::to_string(shelf_.capacity() >> 20) +
-                                              " MiB of chunks, and " + std::to_string(lacking >> 10) +
-                                              " KiB more do not fit beside what is in use"});
+  if (cache_.bytes() - cache_.evictable_bytes() + lacking > cache_.capacity())
+    return fail_version(
+        v.name, {SnapshotError::Kind::kNoSpace, "the disk holds " + std::to_string(cache_.capacity() >> 20) +
+                                                    " MiB of chunks, and " + std::to_string(lacking >> 10) +
+                                                    " KiB more do not fit beside the chunks in use"});
   const Level level = level_of(v);
   const VersionName name = v.name;
   seen.clear();
@@ -401,8 +406,8 @@
     for (const Chunk& c : v.indexes[i].chunks) {
       const Key key = key_of(name.first, c.content);
       if (!seen.insert(key).second) continue;
-      const Shelf::Standing standing = shelf_.standing(key);
-      if (standing == Shelf::Standing::kWhole) {
+      const ChunkCache::State chunk_state = cache_.state(key);
+      if (chunk_state == ChunkCache::State::kComplete) {
         ++counters_.chunk_hits;
         counters_.saved_bytes += c.stored_size;
         continue;
@@ -410,100 +415,102 @@
       Job fresh;
       fresh.kind = Job::Kind::kChunk;
       fresh.key = key, fresh.chunk = c;
-      fresh.request.kind = RemoteRequest::Kind::kBlob;
+      fresh.request.kind = StoreRequest::Kind::kBlob;
       fresh.request.repository = options_.prefix + v.function;
       fresh.request.reference = layer.blob.text();
       fresh.request.ranged = true, fresh.request.offset = c.offset, fresh.request.size = c.stored_size;
-      fresh.fetched = standing == Shelf::Standing::kUnproven;  // it only needs to be proven
-      const bool joins = singles_.contains("chunk " + key.hex());
-      Job& made = job("chunk " + key.hex(), std::move(fresh), &v, level);
+      fresh.fetched = chunk_state == ChunkCache::State::kUnverified;  // on disk, only needs verification
+      const bool joins = jobs_by_key_.contains("chunk " + key.hex());
+      Job& started_job = start_or_join_job("chunk " + key.hex(), std::move(fresh), &v, level);
       if (joins) {
         ++counters_.chunk_joins;
         counters_.saved_bytes += c.stored_size;
-      } else if (made.fetched) {
+      } else if (started_job.fetched) {
         ++counters_.chunk_hits;
         counters_.saved_bytes += c.stored_size;
-        prove(made.id);
+        verify_chunk(started_job.id);
       } else {
         ++counters_.chunk_fetches;
       }
     }
   }
-  if (v.jobs.empty()) return whole(v);
-  if (std::exchange(v.state, Version::State::kChunks) == Version::State::kWhole) news();  // parts of it went
+  if (v.jobs.empty()) return on_version_complete(v);
+  if (std::exchange(v.state, Version::State::kChunks) == Version::State::kComplete)
+    notify_change();  // some of its chunks were evicted
 }
 
-void Agent::whole(Version& v) {
-  const bool fresh = v.state != Version::State::kWhole;
-  v.state = Version::State::kWhole;
+void Agent::on_version_complete(Version& v) {
+  const bool fresh = v.state != Version::State::kComplete;
+  v.state = Version::State::kComplete;
   const VersionName name = v.name;
   Function& f = functions_.at(v.function);
-  // Atomic: from here on asks get it, and until here they got the old one, whole.
+  // Atomic switch: requests get the previous complete version before this line and the new one after it.
   std::optional<Digest> old;
-  if (f.wanted == name.second && f.current != name.second) old = std::exchange(f.current, name.second);
+  if (f.latest == name.second && f.current != name.second) old = std::exchange(f.current, name.second);
   if (fresh) {
-    record(v);
-    news();
+    save_record(v);
+    notify_change();
   }
   v.background = false;
-  for (const std::uint64_t ticket : std::exchange(v.asks, {})) {
-    const auto it = asks_.find(ticket);
-    if (it == asks_.end()) continue;
-    const Waiting waiting = std::move(it->second);
-    asks_.erase(it);
-    if (pins_.size() >= options_.most_pins) {
+  for (const std::uint64_t ticket : std::exchange(v.waiters, {})) {
+    const auto it = pending_.find(ticket);
+    if (it == pending_.end()) continue;
+    const PendingRequest pending = std::move(it->second);
+    pending_.erase(it);
+    if (pins_.size() >= options_.max_pins) {
       ++counters_.refused;
-      waiting.done(std::nullopt, {NoSnapshot::Kind::kBusy, "more pins than the agent keeps"});
+      pending.done(std::nullopt, {SnapshotError::Kind::kBusy, "the limit of pins is reached"});
       continue;
     }
-    pins_[ticket] = {waiting.ask.worker, name};
-    workers_[waiting.ask.worker].pins.insert(ticket);
+    pins_[ticket] = {pending.request.worker, name};
+    workers_[pending.request.worker].pins.insert(ticket);
     ++v.pins;
     ++counters_.answered;
-    waiting.done(snapshot(ticket, v), {});
+    pending.done(snapshot(ticket, v), {});
   }
-  let_go(name);
-  if (old) let_go({name.first, *old});
+  release_if_unused(name);
+  if (old) release_if_unused({name.first, *old});
 }
 
-void Agent::fail(const VersionName& name, const NoSnapshot& no) {
+void Agent::fail_version(const VersionName& name, const SnapshotError& error) {
   const auto it = versions_.find(name);
   if (it == versions_.end()) return;
   Version& v = *it->second;
-  log_(true, "layers: " + v.function + " " + name.second.text() + ": " + no.why);
+  log_(true, "layers: " + v.function + " " + name.second.text() + ": " + error.why);
   Function& f = functions_.at(v.function);
-  f.trouble = no.why;
-  const auto asks = std::exchange(v.asks, {});
+  f.last_error = error.why;
+  const auto waiters = std::exchange(v.waiters, {});
   v.background = false;
-  // Named again by the tag, it is tried again: at the next look.
-  if (f.wanted == name.second && f.current != name.second) {
-    f.wanted = f.current;
+  // Retried at the next poll if the tag still names it.
+  if (f.latest == name.second && f.current != name.second) {
+    f.latest = f.current;
     const auto current = f.current ? versions_.find({f.domain, *f.current}) : versions_.end();
     f.release = current == versions_.end() ? 0 : current->second->manifest.release;
   }
-  let_go(name);
-  for (const std::uint64_t ticket : asks) answer(ticket, no);
+  release_if_unused(name);
+  for (const std::uint64_t ticket : waiters) reject(ticket, error);
 }
 
-// What nobody waits for, pins or names goes, and with it what is fetched for it alone. Its chunks stay until
-// their room is needed: the next release may hold them too.
-void Agent::let_go(const VersionName& name) {
+// Removes a version that no request, pin or tag refers to, and cancels the fetches made for it alone. Its
+// chunks stay in the cache until evicted, because the next release may share them.
+void Agent::release_if_unused(const VersionName& name) {
   const auto it = versions_.find(name);
   if (it == versions_.end()) return;
   Version& v = *it->second;
-  if (!v.asks.empty() || v.background) return raise(v);
+  if (!v.waiters.empty() || v.background) return raise_level(v);
   const Function& f = functions_.at(v.function);
-  for (const std::uint64_t id : std::exchange(v.jobs, {})) leave(id, name);
-  if (v.pins == 0) hold(v, false);
-  const bool named = f.current == name.second || f.wanted == name.second;
+  for (const std::uint64_t id : std::exchange(v.jobs, {})) detach_from_job(id, name);
+  if (v.pins == 0) set_retained(v, false);
+  const bool named = f.current == name.second || f.latest == name.second;
   if (v.pins > 0 || named) return;
-  if (v.state == Version::State::kWhole || v.state == Version::State::kChunks) disk_.erase(record_name(name));
+  if (v.state == Version::State::kComplete || v.state == Version::State::kChunks)
+    disk_.erase(record_name(name));
   versions_.erase(it);
 }
 
-void Agent::news() {
+void Agent::notify_change() {
   ++sequence_;
-  if (on_news) on_news();
+  if (on_change) on_change();
 }
 
 std::vector<ReleaseStatus> Agent::releases() const {
@@ -513,10 +520,10 @@
       const auto it = digest ? versions_.find({domain, *digest}) : versions_.end();
       if (it == versions_.end()) return;
       const Version& v = *it->second;
-      all.push_back({function, v.manifest.release, *digest, v.state == Version::State::kWhole});
+      all.push_back({function, v.manifest.release, *digest, v.state == Version::State::kComplete});
     };
     add(f.current);
-    if (f.wanted != f.current) add(f.wanted);
+    if (f.latest != f.current) add(f.latest);
   }
   return all;
 }
@@ -524,35 +531,36 @@
 // ---- Jobs
 // ---------------------------------------------------------------------------------------------------
 
-Agent::Job& Agent::job(const std::string& single, Job fresh, Version* for_version, Level level) {
-  const auto known = singles_.find(single);
-  if (known != singles_.end()) {
-    Job& mine = jobs_.at(known->second);
-    if (for_version) mine.versions.insert(for_version->name), for_version->jobs.insert(mine.id);
-    if (level < mine.level) mine.level = level, scheduler_.raise(host_.now(), mine.id, level);
-    return mine;
+Agent::Job& Agent::start_or_join_job(const std::string& dedup_key, Job fresh, Version* for_version,
+                                     Level level) {
+  const auto known = jobs_by_key_.find(dedup_key);
+  if (known != jobs_by_key_.end()) {
+    Job& job = jobs_.at(known->second);
+    if (for_version) job.versions.insert(for_version->name), for_version->jobs.insert(job.id);
+    if (level < job.level) job.level = level, scheduler_.raise(host_.now(), job.id, level);
+    return job;
   }
   const std::uint64_t id = next_++;
-  Job& mine = jobs_[id] = std::move(fresh);
-  mine.id = id, mine.single = single, mine.level = level;
-  singles_[single] = id;
-  if (for_version) mine.versions.insert(for_version->name), for_version->jobs.insert(id);
-  if (mine.fetched) return mine;
-  const std::string& name = for_version ? for_version->function : mine.function;
+  Job& job = jobs_[id] = std::move(fresh);
+  job.id = id, job.dedup_key = dedup_key, job.level = level;
+  jobs_by_key_[dedup_key] = id;
+  if (for_version) job.versions.insert(for_version->name), for_version->jobs.insert(id);
+  if (job.fetched) return job;
+  const std::string& name = for_version ? for_version->function : job.function;
   Fetch fetch;
   fetch.id = id, fetch.level = level;
-  fetch.tenant = static_cast<std::uint32_t>(number_of(domain_of(name)));
-  // What says what to fetch does not wait behind what it may make needless.
-  const bool small = mine.kind != Job::Kind::kChunk;
+  fetch.tenant = static_cast<std::uint32_t>(hash_of(domain_of(name)));
+  // Tags, manifests and indexes go first: they decide which chunks are needed at all.
+  const bool small = job.kind != Job::Kind::kChunk;
   if (small) fetch.level = std::min(fetch.level, Level::kHold);
-  fetch.function = number_of(name) + (small ? 1 : 0);
-  fetch.bytes = static_cast<std::uint32_t>(mine.request.ranged ? mine.request.size : 4096);
-  if (!scheduler_.add(host_.now(), fetch)) refused_.push_back(id);
-  turn_->start(Duration(0));
-  return mine;
+  fetch.function = hash_of(name) + (small ? 1 : 0);
+  fetch.bytes = static_cast<std::uint32_t>(job.request.ranged ? job.request.size : 4096);
+  if (!scheduler_.add(host_.now(), fetch)) rejected_jobs_.push_back(id);
+  fetch_timer_->start(Duration(0));
+  return job;
 }
 
-void Agent::raise(Version& v) {
+void Agent::raise_level(Version& v) {
   const Level level = level_of(v);
   for (const std::uint64_t id : v.jobs) {
     const auto it = jobs_.find(id);
@@ -560,96 +568,99 @@
     it->second.level = level;
     scheduler_.raise(host_.now(), id, level);
   }
-  if (!v.jobs.empty()) turn_->start(Duration(0));
+  if (!v.jobs.empty()) fetch_timer_->start(Duration(0));
 }
 
-// The version waits for it no longer; without anybody who does, it is called off.
-void Agent::leave(std::uint64_t id, const VersionName& name) {
+// The version no longer waits for the job; a job without waiting versions is cancelled.
+void Agent::detach_from_job(std::uint64_t id, const VersionName& name) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   it->second.versions.erase(name);
-  if (it->second.versions.empty() && it->second.kind != Job::Kind::kTag && !it->second.fetched) drop(id);
+  if (it->second.versions.empty() && it->second.kind != Job::Kind::kTag && !it->second.fetched)
+    cancel_job(id);
 }
 
-void Agent::drop(std::uint64_t id) {
+void Agent::cancel_job(std::uint64_t id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   scheduler_.drop(host_.now(), id);
-  for (const auto& [attempt, ticket] : it->second.out) {
-    remote_.call_off(ticket);
-    ++counters_.called_off;
+  for (const auto& [attempt, ticket] : it->second.in_flight) {
+    remote_.cancel(ticket);
+    ++counters_.cancelled;
   }
-  singles_.erase(it->second.single);
+  jobs_by_key_.erase(it->second.dedup_key);
   jobs_.erase(it);
-  turn_->start(Duration(0));
+  fetch_timer_->start(Duration(0));
 }
 
-void Agent::turn() {
+void Agent::start_fetches() {
   const Time now = host_.now();
-  for (const std::uint64_t id : std::exchange(refused_, {}))
+  for (const std::uint64_t id : std::exchange(rejected_jobs_, {}))
     if (jobs_.contains(id))
-      job_failed(id, {NoSnapshot::Kind::kBusy, "more fetches wait than the agent keeps"});
+      job_failed(id, {SnapshotError::Kind::kBusy, "the limit of waiting fetches is reached"});
   while (const auto start = scheduler_.next(now)) {
-    Job& mine = jobs_.at(start->id);
-    RemoteRequest request = mine.request;
+    Job& job = jobs_.at(start->id);
+    StoreRequest request = job.request;
     request.replica = start->replica;
     const std::uint64_t id = start->id;
     const std::uint32_t attempt = start->attempt;
-    mine.out[attempt] = remote_.fetch(request, [this, id, attempt, alive = alive_](RemoteResult result) {
-      if (*alive) attempt_ended(id, attempt, std::move(result));
-    });
+    job.in_flight[attempt] =
+        remote_.fetch(request, [this, id, attempt, alive = alive_](StoreResponse result) {
+          if (*alive) attempt_ended(id, attempt, std::move(result));
+        });
   }
-  if (const auto wake = scheduler_.wake(now)) turn_->start(std::max(Duration(0), *wake - now));
+  if (const auto next_wakeup = scheduler_.next_wakeup(now))
+    fetch_timer_->start(std::max(Duration(0), *next_wakeup - now));
 }
 
-void Agent::attempt_ended(std::uint64_t id, std::uint32_t attempt, RemoteResult result) {
+void Agent::attempt_ended(std::uint64_t id, std::uint32_t attempt, StoreResponse result) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
-  Job& mine = it->second;
-  mine.out.erase(attempt);
+  Job& job = it->second;
+  job.in_flight.erase(attempt);
   if (result.end == FetchOutcome::kOk) {
     counters_.fetched_bytes += result.bytes.size();
-    bool fits = true;
-    if (mine.kind == Job::Kind::kChunk) fits = digest_of(result.bytes) == mine.chunk.stored;
-    if (mine.kind == Job::Kind::kManifest || mine.kind == Job::Kind::kIndex)
-      fits = digest_of(result.bytes) == mine.expected;
-    if (!fits) {
+    bool matches = true;
+    if (job.kind == Job::Kind::kChunk) matches = digest_of(result.bytes) == job.chunk.stored;
+    if (job.kind == Job::Kind::kManifest || job.kind == Job::Kind::kIndex)
+      matches = digest_of(result.bytes) == job.expected;
+    if (!matches) {
       ++counters_.corrupt;
       result.end = FetchOutcome::kCorrupt;
     }
   }
-  if (!result.why.empty()) mine.detail = result.why;
-  const Verdict verdict =
+  if (!result.why.empty()) job.detail = result.why;
+  const AttemptVerdict verdict =
       scheduler_.on_attempt_ended(host_.now(), id, attempt, result.end, result.retry_after);
-  turn_->start(Duration(0));
+  fetch_timer_->start(Duration(0));
   switch (verdict.kind) {
-    case Verdict::Kind::kDone:
-      for (const std::uint32_t other : verdict.call_off)
-        if (const auto out = mine.out.find(other); out != mine.out.end()) {
-          remote_.call_off(out->second);
-          mine.out.erase(out);
+    case AttemptVerdict::Kind::kDone:
+      for (const std::uint32_t other : verdict.attempts_to_cancel)
+        if (const auto in_flight = job.in_flight.find(other); in_flight != job.in_flight.end()) {
+          remote_.cancel(in_flight->second);
+          job.in_flight.erase(in_flight);
         }
       return job_done(id, std::move(result.bytes));
-    case Verdict::Kind::kGaveUp: {
-      const bool unknown = result.end == FetchOutcome::kMissing && mine.kind != Job::Kind::kIndex &&
-                           mine.kind != Job::Kind::kChunk;
-      const std::string detail = mine.detail.empty() ? "" : ": " + mine.detail;
-      return job_failed(
-          id, {unknown ? NoSnapshot::Kind::kUnknown : NoSnapshot::Kind::kStore,
-               mine.request.repository + " " + mine.request.reference + ": " + verdict.why + detail});
+    case AttemptVerdict::Kind::kGaveUp: {
+      const bool unknown = result.end == FetchOutcome::kMissing && job.kind != Job::Kind::kIndex &&
+                           job.kind != Job::Kind::kChunk;
+      const std::string detail = job.detail.empty() ? "" : ": " + job.detail;
+      return job_failed(id,
+                        {unknown ? SnapshotError::Kind::kNotFound : SnapshotError::Kind::kStoreFailed,
+                         job.request.repository + " " + job.request.reference + ": " + verdict.why + detail});
     }
-    case Verdict::Kind::kAgain:
-    case Verdict::Kind::kNobody: return;
+    case AttemptVerdict::Kind::kRetry:
+    case AttemptVerdict::Kind::kDropped: return;
   }
 }
 
 void Agent::job_done(std::uint64_t id, std::string bytes) {
-  Job& mine = jobs_.at(id);
-  if (mine.kind == Job::Kind::kChunk) return keep(id, std::move(bytes));
-  const Job done = std::move(mine);
-  singles_.erase(done.single);
+  Job& job = jobs_.at(id);
+  if (job.kind == Job::Kind::kChunk) return store_chunk(id, std::move(bytes));
+  const Job done = std::move(job);
+  jobs_by_key_.erase(done.dedup_key);
   jobs_.erase(id);
-  if (done.kind == Job::Kind::kTag) return on_tag(functions_.at(done.function), std::move(bytes), {});
+  if (done.kind == Job::Kind::kTag) return on_tag_fetched(functions_.at(done.function), std::move(bytes), {});
   for (const VersionName& name : done.versions) {
     const auto it = versions_.find(name);
     if (it == versions_.end()) continue;
@@ -660,102 +671,104 @@
       auto manifest = parse_manifest(bytes, why);
       if (manifest && manifest->function != v.function) why = "it is another function's", manifest.reset();
       if (!manifest) {
-        fail(name, {NoSnapshot::Kind::kBad, "its manifest cannot be used: " + why});
+        fail_version(name, {SnapshotError::Kind::kInvalid, "its manifest cannot be used: " + why});
         continue;
       }
       v.manifest_bytes = bytes, v.manifest = std::move(*manifest);
       v.state = Version::State::kIndexes;
-      want_indexes(v);
+      fetch_indexes(v);
       continue;
     }
     auto index = parse_index(bytes, why);
     if (!index) {
-      fail(name, {NoSnapshot::Kind::kBad, "a layer's index cannot be used: " + why});
+      fail_version(name, {SnapshotError::Kind::kInvalid, "a layer's index cannot be used: " + why});
       continue;
     }
     for (std::size_t i = 0; i < v.manifest.layers.size(); ++i)
       if (v.manifest.layers[i].index == done.expected) v.index_bytes[i] = bytes, v.indexes[i] = *index;
     if (!v.jobs.empty()) continue;
     v.state = Version::State::kChunks;
-    want_chunks(v);
+    fetch_chunks(v);
   }
 }
 
-void Agent::job_failed(std::uint64_t id, const NoSnapshot& no) {
+void Agent::job_failed(std::uint64_t id, const SnapshotError& error) {
   const Job failed = std::move(jobs_.at(id));
-  singles_.erase(failed.single);
+  jobs_by_key_.erase(failed.dedup_key);
   jobs_.erase(id);
-  if (failed.kind == Job::Kind::kTag) return on_tag(functions_.at(failed.function), std::nullopt, no);
+  if (failed.kind == Job::Kind::kTag)
+    return on_tag_fetched(functions_.at(failed.function), std::nullopt, error);
   for (const VersionName& name : failed.versions) {
     if (const auto it = versions_.find(name); it != versions_.end()) it->second->jobs.erase(id);
-    fail(name, no);
+    fail_version(name, error);
   }
 }
 
-// ---- Chunks on their way to the disk
+// ---- Writing and verifying chunks
 // ------------------------------------------------------------------------
 
-void Agent::keep(std::uint64_t id, std::string frame) {
-  Job& mine = jobs_.at(id);
-  mine.fetched = true;
-  const auto go = shelf_.begin(mine.key, mine.chunk.size);
-  if (!go) return job_failed(id, {NoSnapshot::Kind::kRoom, "the disk's bound is reached by what is in use"});
-  for (const Key& key : *go) disk_.remove(key);
-  disk_.write(mine.key, mine.chunk, std::move(frame),
-              [this, id, alive = alive_](DiskEnd end, const std::string& why) {
+void Agent::store_chunk(std::uint64_t id, std::string frame) {
+  Job& job = jobs_.at(id);
+  job.fetched = true;
+  const auto to_evict = cache_.begin_write(job.key, job.chunk.size);
+  if (!to_evict)
+    return job_failed(id, {SnapshotError::Kind::kNoSpace, "the cache capacity is taken by chunks in use"});
+  for (const Key& key : *to_evict) disk_.remove(key);
+  disk_.write(job.key, job.chunk, std::move(frame),
+              [this, id, alive = alive_](DiskStatus end, const std::string& why) {
                 if (!*alive) return;
                 Job& here = jobs_.at(id);
-                if (end == DiskEnd::kOk) {
-                  shelf_.written(here.key);
-                  return chunk_stands(id);
+                if (end == DiskStatus::kOk) {
+                  cache_.finish_write(here.key);
+                  return on_chunk_stored(id);
                 }
-                shelf_.gone(here.key);
-                const bool full = end == DiskEnd::kFull;
+                cache_.discard(here.key);
+                const bool full = end == DiskStatus::kFull;
                 const bool bad =
-                    end == DiskEnd::kCorrupt;  // of the digests the index names: the packer's fault
-                job_failed(id, {full  ? NoSnapshot::Kind::kRoom
-                                : bad ? NoSnapshot::Kind::kBad
-                                      : NoSnapshot::Kind::kStore,
-                                (bad ? "it was published wrongly: " : "the disk: ") + why});
+                    end == DiskStatus::kCorrupt;  // the frame matched the index: the layer was packed wrongly
+                job_failed(id, {full  ? SnapshotError::Kind::kNoSpace
+                                : bad ? SnapshotError::Kind::kInvalid
+                                      : SnapshotError::Kind::kStoreFailed,
+                                (bad ? "invalid published layer: " : "disk: ") + why});
               });
 }
 
-// Of an earlier life: believed once its digest was checked, fetched again if it does not fit.
-void Agent::prove(std::uint64_t id) {
-  const Job& mine = jobs_.at(id);
-  disk_.prove(mine.key, mine.chunk.content, [this, id, alive = alive_](DiskEnd end, const std::string&) {
+// Verifies a chunk left by an earlier process; a corrupt one is fetched again.
+void Agent::verify_chunk(std::uint64_t id) {
+  const Job& job = jobs_.at(id);
+  disk_.verify(job.key, job.chunk.content, [this, id, alive = alive_](DiskStatus end, const std::string&) {
     if (!*alive) return;
     Job& here = jobs_.at(id);
-    if (end == DiskEnd::kOk) {
-      shelf_.proven(here.key);
-      return chunk_stands(id);
+    if (end == DiskStatus::kOk) {
+      cache_.mark_verified(here.key);
+      return on_chunk_stored(id);
     }
     ++counters_.broken_on_disk;
-    log_(true, "layers: chunk " + here.chunk.content.text() + " on the disk is broken; it is fetched again");
-    shelf_.gone(here.key);
+    log_(true, "layers: chunk " + here.chunk.content.text() + " on disk is corrupt; fetching it again");
+    cache_.discard(here.key);
     disk_.remove(here.key);
     const std::set<VersionName> versions = here.versions;
-    singles_.erase(here.single);
+    jobs_by_key_.erase(here.dedup_key);
     jobs_.erase(id);
     for (const VersionName& name : versions) {
       const auto it = versions_.find(name);
       if (it == versions_.end()) continue;
       it->second->jobs.erase(id);
-      // It may wait for others meanwhile: all that is lacking is asked for again.
-      if (it->second->held || !it->second->asks.empty()) want_chunks(*it->second);
+      // It may wait for other chunks by now, so all missing chunks are requested again.
+      if (it->second->chunks_retained || !it->second->waiters.empty()) fetch_chunks(*it->second);
     }
   });
 }
 
-void Agent::chunk_stands(std::uint64_t id) {
+void Agent::on_chunk_stored(std::uint64_t id) {
   const Job done = std::move(jobs_.at(id));
-  singles_.erase(done.single);
+  jobs_by_key_.erase(done.dedup_key);
   jobs_.erase(id);
   for (const VersionName& name : done.versions) {
     const auto it = versions_.find(name);
     if (it == versions_.end()) continue;
     it->second->jobs.erase(id);
-    if (it->second->jobs.empty()) whole(*it->second);
+    if (it->second->jobs.empty()) on_version_complete(*it->second);
   }
 }
 
@@ -770,48 +783,48 @@
   if (const auto w = workers_.find(pin.worker); w != workers_.end()) w->second.pins.erase(id);
   if (const auto v = versions_.find(pin.version); v != versions_.end()) {
     --v->second->pins;
-    let_go(pin.version);
+    release_if_unused(pin.version);
   }
   return true;
 }
 
-void Agent::renew(const std::string& worker, const std::string& life) {
-  if (!workers_.contains(worker) && workers_.size() >= options_.most_workers) return;
+void Agent::renew(const std::string& worker, const std::string& incarnation) {
+  if (!workers_.contains(worker) && workers_.size() >= options_.max_workers) return;
   Worker& w = workers_[worker];
-  if (w.life != life) {  // it died, and what it ran died with it
-    w.life = life;
+  if (w.incarnation != incarnation) {  // the worker restarted, so its old pins are unused
+    w.incarnation = incarnation;
     for (const std::uint64_t pin : std::set<std::uint64_t>(w.pins)) unpin(pin);
   }
-  w.until = host_.now() + options_.lease;
+  w.lease_until = host_.now() + options_.lease;
 }
 
-void Agent::sweep() {
-  sweep_->start(kSweepEvery);
-  std::vector<std::string> gone;
+void Agent::expire_leases() {
+  lease_timer_->start(kLeaseCheckInterval);
+  std::vector<std::string> expired;
   for (const auto& [name, w] : workers_)
-    if (host_.now() >= w.until) gone.push_back(name);
-  for (const std::string& name : gone) {
+    if (host_.now() >= w.lease_until) expired.push_back(name);
+  for (const std::string& name : expired) {
     const std::set<std::uint64_t> pins = workers_.at(name).pins;
     if (!pins.empty())
-      log_(true, "layers: worker " + name + " has not been heard of: " + std::to_string(pins.size()) +
-                     " pins are let go");
+      log_(true,
+           "layers: worker " + name + " lease expired: " + std::to_string(pins.size()) + " pins released");
     for (const std::uint64_t pin : pins) unpin(pin);
     workers_.erase(name);
   }
 }
 
-std::vector<std::string> Agent::waiting(std::size_t most) const {
+std::vector<std::string> Agent::describe_waiting(std::size_t most) const {
   std::vector<std::string> lines;
   for (const auto& [name, v] : versions_) {
     if (v->jobs.empty()) continue;
     if (lines.size() == most) break;
     lines.push_back(v->function + " release " + std::to_string(v->manifest.release) + " " +
                     name.second.text() + ": waits for " + std::to_string(v->jobs.size()) +
-                    " fetches at level " + text_of(level_of(*v)) + ", " + std::to_string(v->asks.size()) +
+                    " fetches at level " + text_of(level_of(*v)) + ", " + std::to_string(v->waiters.size()) +
                     " workers wait for it");
   }
   for (const auto& [name, f] : functions_)
-    if (!f.trouble.empty() && lines.size() < most) lines.push_back(name + ": " + f.trouble);
+    if (!f.last_error.empty() && lines.size() < most) lines.push_back(name + ": " + f.last_error);
   return lines;
 }
 
--- a/src/layers/agent_server.h
+++ b/src/layers/agent_server.h
@@ -1,5 +1,5 @@
-// The box agent's API for the workers of its box: HTTP/1.1 with JSON on loopback (docs/layers.md, "The
-// agent's API"). A worker asks for a version and gets paths of files that stay while its pin does.
+// The layer agent's API for the workers of its host: HTTP/1.1 with JSON on loopback (docs/layers.md, "The
+// agent's API"). A worker requests a version and gets paths of files that stay as long as its pin.
 #pragma once
 
 #include <map>
@@ -24,18 +24,19 @@
   std::string on_bad(int status, const std::string& why) override;
 
  private:
-  void pin(http::Server::Ticket ticket, const http::Request& request);
-  void tell_releases(http::Server::Ticket ticket, const std::string& query);
-  void say_releases(http::Server::Ticket ticket);
-  void say(http::Server::Ticket ticket, int status, std::string body, const char* type = "application/json");
-  void problem(http::Server::Ticket ticket, int status, const std::string& detail);
+  void handle_pin(http::Server::Ticket ticket, const http::Request& request);
+  void handle_releases(http::Server::Ticket ticket, const std::string& query);
+  void send_releases(http::Server::Ticket ticket);
+  void respond(http::Server::Ticket ticket, int status, std::string body,
+               const char* type = "application/json");
+  void respond_problem(http::Server::Ticket ticket, int status, const std::string& detail);
   std::string state() const;
 
   io::Host& host_;
   Agent& agent_;
   http::Server server_;
-  std::map<http::Server::Ticket, std::uint64_t> asks_;                    // that wait, and the agent's ticket
-  std::map<http::Server::Ticket, std::unique_ptr<io::Timer>> listeners_;  // wait for news
+  std::map<http::Server::Ticket, std::uint64_t> pending_;  // waiting requests, with the agent's ticket
+  std::map<http::Server::Ticket, std::unique_ptr<io::Timer>> listeners_;  // long polls for release changes
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/layers/chunker.h
+++ b/src/layers/chunker.h
@@ -1,8 +1,8 @@
-// Where a layer is cut into chunks: content-defined, so that an insertion moves only the cuts beside it.
+// Content-defined chunking of a layer: an insertion moves only the boundaries next to it.
 //
-// FastCDC (Xia et al., USENIX ATC 2016): a gear hash rolled over the bytes, no cut before `least`, a harder
-// mask before the average and an easier one behind it. The cuts depend on the bytes alone, so that two
-// releases packed on two machines share what they have in common. No I/O, no state.
+// FastCDC (Xia et al., USENIX ATC 2016): a gear hash rolls over the bytes, with no boundary before
+// `min_size`, a stricter mask before the average and a looser one after it. Boundaries depend on the bytes
+// alone, so releases packed on different machines share their common chunks. No I/O, no state.
 #pragma once
 
 #include <cstddef>
@@ -12,19 +12,22 @@
 namespace laureltide::layers {
 
 struct ChunkerOptions {
-  std::size_t average = 64U << 10;  // a power of two; docs/layers.md has what others fetch
-  std::size_t least() const { return average / 4; }
-  std::size_t most() const { return average * 4; }
-  // 4 KiB to 4 MiB: under it the index outweighs what is saved, over it a chunk is no small thing to repeat.
-  static constexpr std::size_t kSmallest = 4U << 10, kLargest = 4U << 20;
-  bool valid() const { return average >= kSmallest && average <= kLargest && (average & (average - 1)) == 0; }
+  std::size_t average = 64U << 10;  // a power of two; docs/layers.md compares the sizes
+  std::size_t min_size() const { return average / 4; }
+  std::size_t max_size() const { return average * 4; }
+  // 4 KiB to 4 MiB: below it the index costs more than sharing saves, above it a retried chunk is
+  // expensive.
+  static constexpr std::size_t kMinAverage = 4U << 10, kMaxAverage = 4U << 20;
+  bool valid() const {
+    return average >= kMinAverage && average <= kMaxAverage && (average & (average - 1)) == 0;
+  }
 };
 
-// How many bytes the first chunk of `bytes` has; all of them if no cut comes.
-std::size_t first_cut(std::string_view bytes, const ChunkerOptions& options);
-// The sizes of all chunks, in order; their sum is the size of `bytes`.
-std::vector<std::size_t> cut(std::string_view bytes, const ChunkerOptions& options);
-// Every `average` bytes: what content-defined cuts are measured against.
-std::vector<std::size_t> cut_fixed(std::string_view bytes, const ChunkerOptions& options);
+// Size of the first chunk of `bytes`; all of it if there is no boundary.
+std::size_t first_chunk_size(std::string_view bytes, const ChunkerOptions& options);
+// Sizes of all chunks, in order; they add up to the size of `bytes`.
+std::vector<std::size_t> chunk_sizes(std::string_view bytes, const ChunkerOptions& options);
+// Fixed-size chunks of `average` bytes, as the baseline for comparison.
+std::vector<std::size_t> fixed_chunk_sizes(std::string_view bytes, const ChunkerOptions& options);
 
 }  // namespace laureltide::layers
--- a/src/layers/client.cpp
+++ b/src/layers/client.cpp
@@ -7,9 +7,9 @@
 
 using nlohmann::json;
 
-constexpr Duration kBeatEvery = std::chrono::seconds(2);  // a lease is several of it
-constexpr Duration kWithin = std::chrono::seconds(5);
-constexpr int kNewsWaitS = 20;
+constexpr Duration kLeaseRenewInterval = std::chrono::seconds(2);  // several renewals per lease
+constexpr Duration kRequestTimeout = std::chrono::seconds(5);
+constexpr int kReleasesWaitS = 20;
 
 std::optional<Snapshot> parse_snapshot(const std::string& body) {
   const json doc = json::parse(body, nullptr, false);
@@ -35,77 +35,79 @@
 }
 
 std::string detail_of(const http::Exchange::Result& r) {
-  if (r.status == 0) return "the box agent: " + r.why;
+  if (r.status == 0) return "layer agent: " + r.why;
   const json doc = json::parse(r.body, nullptr, false);
   if (doc.is_object() && doc.contains("detail") && doc["detail"].is_string()) return doc["detail"];
-  return "the box agent answered with status " + std::to_string(r.status);
+  return "layer agent answered with status " + std::to_string(r.status);
 }
 
 }  // namespace
 
-AgentClient::AgentClient(io::Host& host, io::Address agent, std::string worker, std::string life)
+AgentClient::AgentClient(io::Host& host, io::Address agent, std::string worker, std::string incarnation)
     : host_(host),
       agent_(std::move(agent)),
       worker_(std::move(worker)),
-      life_(std::move(life)),
-      dead_(host),
-      beat_(host.timer([this] { beat(); })),
-      listen_(host.timer([this] { listen(); })) {
-  beat_->start(Duration(0));
+      incarnation_(std::move(incarnation)),
+      retired_(host),
+      lease_timer_(host.timer([this] { renew_lease(); })),
+      poll_timer_(host.timer([this] { poll_releases(); })) {
+  lease_timer_->start(Duration(0));
 }
 AgentClient::~AgentClient() = default;
 
-void AgentClient::send(http::Request request, Duration within, Done done) {
+void AgentClient::send(http::Request request, Duration timeout, Done done) {
   request.headers.add("Host", agent_.text());
   request.headers.add("Connection", "close");
   http::Limits limits;
   limits.body = 64U << 20;  // a snapshot of many chunks
   const std::uint64_t id = next_++;
-  out_[id] = std::make_unique<http::Exchange>(host_, agent_, request, within, limits,
-                                              [this, id, done = std::move(done)](http::Exchange::Result r) {
-                                                dead_.bury(std::move(out_.at(id)));
-                                                out_.erase(id);
-                                                done(std::move(r));
-                                              });
+  in_flight_[id] = std::make_unique<http::Exchange>(
+      host_, agent_, request, timeout, limits, [this, id, done = std::move(done)](http::Exchange::Result r) {
+        retired_.bury(std::move(in_flight_.at(id)));
+        in_flight_.erase(id);
+        done(std::move(r));
+      });
 }
 
 void AgentClient::pin(const std::string& function, const std::optional<Digest>& version, Level level,
-                      Duration within, Pinned done) {
-  json doc = {{"worker", worker_}, {"life", life_}, {"function", function}, {"for", text_of(level)}};
+                      Duration timeout, PinCallback done) {
+  json doc = {{"worker", worker_}, {"life", incarnation_}, {"function", function}, {"for", text_of(level)}};
   if (version) doc["version"] = version->text();
   http::Request request;
   request.method = "POST", request.target = "/v1/pins", request.body = doc.dump();
-  send(std::move(request), within, [done = std::move(done)](const http::Exchange::Result& r) {
+  send(std::move(request), timeout, [done = std::move(done)](const http::Exchange::Result& r) {
     if (r.status != 200) return done(std::nullopt, detail_of(r));
     auto snapshot = parse_snapshot(r.body);
-    done(snapshot, snapshot ? "" : "the box agent's answer cannot be read");
+    done(snapshot, snapshot ? "" : "invalid answer of the layer agent");
   });
 }
 
 void AgentClient::unpin(std::uint64_t pin) {
   http::Request request;
   request.method = "DELETE", request.target = "/v1/pins/" + std::to_string(pin);
-  send(std::move(request), kWithin, [](const http::Exchange::Result&) {});  // else its lease ends it
+  send(std::move(request), kRequestTimeout,
+       [](const http::Exchange::Result&) {});  // on failure the pin ends with its lease
 }
 
-void AgentClient::beat() {
-  beat_->start(kBeatEvery);
+void AgentClient::renew_lease() {
+  lease_timer_->start(kLeaseRenewInterval);
   http::Request request;
   request.method = "PUT";
-  request.target = "/v1/workers/" + http::percent_encode(worker_) + "/" + http::percent_encode(life_);
-  send(std::move(request), kWithin, [](const http::Exchange::Result&) {});
+  request.target = "/v1/workers/" + http::percent_encode(worker_) + "/" + http::percent_encode(incarnation_);
+  send(std::move(request), kRequestTimeout, [](const http::Exchange::Result&) {});
 }
 
-void AgentClient::watch_releases(std::function<void(const std::vector<ReleaseStatus>&)> news) {
-  news_ = std::move(news);
-  listen();
+void AgentClient::watch_releases(std::function<void(const std::vector<ReleaseStatus>&)> on_releases) {
+  on_releases_ = std::move(on_releases);
+  poll_releases();
 }
 
-void AgentClient::listen() {
+void AgentClient::poll_releases() {
   http::Request request;
   request.method = "GET";
-  request.target = "/v1/releases?after=" + std::to_string(sequence_) + "&wait=" + std::to_string(kNewsWaitS);
-  send(std::move(request), std::chrono::seconds(kNewsWaitS) + kWithin,
+  request.target =
+      "/v1/releases?after=" + std::to_string(sequence_) + "&wait=" + std::to_string(kReleasesWaitS);
+  send(std::move(request), std::chrono::seconds(kReleasesWaitS) + kRequestTimeout,
        [this](const http::Exchange::Result& r) {
          const json doc = r.status == 200 ? json::parse(r.body, nullptr, false) : json();
          Duration pause =
@@ -118,13 +120,13 @@
                const auto version = parse_digest(one.at("version").get<std::string>());
                if (version) all.push_back({one.at("function"), one.at("release"), *version, one.at("whole")});
              }
-             // A smaller one is of an agent that started anew.
-             if (std::exchange(sequence_, sequence) != sequence) news_(all);
+             // Any other number counts as a change: it decreases when the agent restarts.
+             if (std::exchange(sequence_, sequence) != sequence) on_releases_(all);
              pause = std::chrono::milliseconds(10);
            }
-         } catch (const json::exception&) {  // no agent of ours: asked again later
+         } catch (const json::exception&) {  // unexpected answer format: retried later
          }
-         listen_->start(pause);
+         poll_timer_->start(pause);
        });
 }
 
--- a/src/layers/digest.h
+++ b/src/layers/digest.h
@@ -1,4 +1,4 @@
-// SHA-256 digests as OCI names content (image-spec, descriptor.md: "sha256:" and 64 lower-case hex digits).
+// SHA-256 digests in the OCI notation (image-spec, descriptor.md: "sha256:" and 64 lower-case hex digits).
 #pragma once
 
 #include <array>
@@ -19,18 +19,18 @@
   std::string text() const { return "sha256:" + hex(); }
 };
 
-// Nothing on any other algorithm, length or letter.
+// Returns nothing for any other algorithm, length or character.
 std::optional<Digest> parse_digest(std::string_view text);
 Digest digest_of(std::string_view bytes);
 
-// For content that comes in pieces.
+// Incremental hashing.
 class Hasher {
  public:
   Hasher();
   ~Hasher();
   Hasher(Hasher&&) noexcept;
   void add(std::string_view bytes);
-  Digest finish();  // once
+  Digest finish();  // call once
 
  private:
   struct Impl;
@@ -42,7 +42,7 @@
 template <>
 struct std::hash<laureltide::layers::Digest> {
   std::size_t operator()(const laureltide::layers::Digest& d) const noexcept {
-    std::size_t word = 0;  // the digest is as good as random already
+    std::size_t word = 0;  // the digest is already uniformly distributed
     std::memcpy(&word, d.bytes.data(), sizeof word);
     return word;
   }
--- a/src/layers/disk.h
+++ b/src/layers/disk.h
@@ -1,10 +1,10 @@
-// Where a box keeps its chunks and what it knows of versions, behind a seam: a test orders every delay, loss
-// and fault. All calls come on the loop's thread and return at once; what they lead to comes back on it, in
-// the order of the calls.
+// Interface to the host's storage of chunks and version records; tests replace it to inject delays, losses
+// and faults. All calls come on the event loop's thread and return at once; callbacks run on the same thread,
+// in the order of the calls.
 //
-// A cache need not survive: it must only never be believed wrongly. So nothing here waits for a sync. A chunk
-// is a file that appears whole under its name or not at all, an index entry follows its file, and what a new
-// life finds is `kUnproven` until its digest was checked.
+// The cache need not survive a crash, but must never serve wrong content, so nothing here waits for fsync. A
+// chunk file appears complete under its name or not at all, its index entry is written after it, and chunks
+// found after a restart are `kUnverified` until their digest is checked.
 #pragma once
 
 #include <functional>
@@ -15,47 +15,46 @@
 #include <vector>
 
 #include "base/io.h"
+#include "layers/chunk_cache.h"
 #include "layers/format.h"
-#include "layers/shelf.h"
 
 namespace laureltide::layers {
 
-enum class DiskEnd {
+enum class DiskStatus {
   kOk,
-  kCorrupt,  // the bytes are not what their digest says
+  kCorrupt,  // the bytes do not match their digest
   kFull,     // no space left
-  kBroken    // any other trouble
+  kBroken    // any other error
 };
 
-// Named moments at which the end of the process means something else than a moment before; tests end it
-// there.
+// Steps between which a crash leaves different state on disk; tests end the process at each of them.
 constexpr const char* kDiskSteps[] = {"chunk-begun", "chunk-written", "chunk-renamed", "chunk-indexed",
                                       "version-recorded"};
 
 class Disk {
  public:
-  using Done = std::function<void(DiskEnd end, const std::string& why)>;
-  struct Found {
-    struct Kept {
+  using Done = std::function<void(DiskStatus end, const std::string& why)>;
+  struct LoadedState {
+    struct StoredChunk {
       Key key;
       std::uint32_t size = 0;
     };
-    std::vector<Kept> chunks;                                  // in the order in which they were written
+    std::vector<StoredChunk> chunks;                           // in write order
     std::vector<std::pair<std::string, std::string>> records;  // by name
-    std::size_t dropped = 0;  // entries without their file, files without an entry, files of another size
+    std::size_t dropped = 0;  // entries without a file, files without an entry, size mismatches
   };
   virtual ~Disk() = default;
-  // Once, before all else. Index and files that disagree are dropped, both.
-  virtual Found load() = 0;
-  // Unpacks the frame and keeps its plain bytes. kCorrupt: the content is not what the index said.
+  // Called once, first. Drops files and index entries that do not match each other.
+  virtual LoadedState load() = 0;
+  // Unpacks the frame and stores its plain bytes. kCorrupt: the content does not match the index.
   virtual void write(const Key& key, const Chunk& chunk, std::string frame, Done done) = 0;
-  // Is what lies under the key the content?
-  virtual void prove(const Key& key, const Digest& content, Done done) = 0;
+  // Checks that the chunk stored under the key has this content.
+  virtual void verify(const Key& key, const Digest& content, Done done) = 0;
   virtual void remove(const Key& key) = 0;
-  // What the agent remembers; written soon.
+  // Stores a version record of the agent, asynchronously.
   virtual void put(const std::string& name, std::string bytes) = 0;
   virtual void erase(const std::string& name) = 0;
-  // Where a worker reads the chunk. A pin keeps it there.
+  // Path at which a worker reads the chunk; it stays while pinned.
   virtual std::string path(const Key& key) const = 0;
 
   std::function<void(const char* step)> on_step;  // see kDiskSteps
@@ -66,14 +65,14 @@
   }
 };
 
-// For tests and the simulated host. The state outlives the disk as a disk outlives a process.
+// For tests and the simulated host. The contents outlive MemoryDisk, as files outlive a process.
 struct MemoryFiles {
-  std::map<Key, std::string> files, half;  // whole under their name; being written
+  std::map<Key, std::string> files, partial;  // complete files; files being written
   std::map<Key, std::uint32_t> index;
   std::vector<Key> order;
   std::map<std::string, std::string> records;
   Duration delay = std::chrono::microseconds(300);
-  std::uint64_t room = UINT64_MAX;  // bytes, before it is full
+  std::uint64_t capacity = UINT64_MAX;  // bytes
   std::uint64_t used() const;
 };
 
@@ -81,25 +80,25 @@
  public:
   MemoryDisk(io::Host& host, MemoryFiles& files);
   ~MemoryDisk() override;
-  Found load() override;
+  LoadedState load() override;
   void write(const Key& key, const Chunk& chunk, std::string frame, Done done) override;
-  void prove(const Key& key, const Digest& content, Done done) override;
+  void verify(const Key& key, const Digest& content, Done done) override;
   void remove(const Key& key) override;
   void put(const std::string& name, std::string bytes) override;
   void erase(const std::string& name) override;
   std::string path(const Key& key) const override { return "/memory/" + key.hex(); }
 
  private:
-  void later(std::function<void()> what);
+  void enqueue(std::function<void()> task);
 
   io::Host& host_;
   MemoryFiles& files_;
-  std::vector<std::function<void()>> line_;
+  std::vector<std::function<void()>> queue_;
   std::unique_ptr<io::Timer> timer_;
 };
 
-// Files under `directory`, worked on by a thread of its own, with the index in LMDB beside them. `post` as
-// for the embedded store (store/lmdb.h). Nothing, with the reason, if the directory cannot be used.
+// Files under `directory`, accessed by a dedicated thread, with the index in LMDB next to them. `post` as for
+// the embedded store (store/lmdb.h). `disk` is null, with the reason, if the directory cannot be used.
 struct OpenedDisk {
   std::unique_ptr<Disk> disk;
   std::string why;
--- a/src/layers/files.cpp
+++ b/src/layers/files.cpp
@@ -21,10 +21,12 @@
 
 namespace fs = std::filesystem;
 
-constexpr const char* kChunks = "c";  // names of the index's entries: c + key, v + version's name
-constexpr const char* kVersions = "v";
+constexpr const char* kChunkPrefix = "c";  // index keys: c + chunk key, v + version name
+constexpr const char* kVersionPrefix = "v";
 
-DiskEnd end_of(int error) { return error == ENOSPC || error == EDQUOT ? DiskEnd::kFull : DiskEnd::kBroken; }
+DiskStatus status_of(int error) {
+  return error == ENOSPC || error == EDQUOT ? DiskStatus::kFull : DiskStatus::kBroken;
+}
 
 class FileDisk : public Disk, public store::StoreEvents {
  public:
@@ -37,39 +39,40 @@
   ~FileDisk() override {
     *alive_ = false;
     thread_.request_stop();
-    woken_.notify_all();
+    wakeup_.notify_all();
     thread_.join();
     index_->serve(nullptr);
   }
 
-  Found load() override {
-    Found found;
+  LoadedState load() override {
+    LoadedState found;
     struct Entry {
       std::uint64_t order = 0;
       std::uint32_t size = 0;
     };
     std::unordered_map<Key, Entry> entries;
     index_->load([&](std::string_view name, std::string_view value) {
-      if (name.starts_with(kVersions)) {
+      if (name.starts_with(kVersionPrefix)) {
         found.records.emplace_back(name.substr(1), value);
         return;
       }
       const auto key = parse_digest("sha256:" + std::string(name.substr(1)));
       Reader r(value);
       const Entry entry{r.u64(), r.u32()};
-      if (!name.starts_with(kChunks) || !key || !r.done()) return;
+      if (!name.starts_with(kChunkPrefix) || !key || !r.done()) return;
       entries[*key] = entry;
       next_order_ = std::max(next_order_, entry.order + 1);
     });
-    // Files are the truth about bytes, the index about what was whole: only what both name is kept.
+    // Files prove that bytes exist, the index that they were written completely: keep chunks that are in
+    // both.
     std::error_code error;
-    std::vector<std::pair<std::uint64_t, Found::Kept>> kept;
+    std::vector<std::pair<std::uint64_t, LoadedState::StoredChunk>> kept;
     for (const auto& part : fs::directory_iterator(directory_ + "/chunks", error)) {
       for (const auto& file : fs::directory_iterator(part.path(), error)) {
         const auto key = parse_digest("sha256:" + file.path().filename().string());
         const auto it = key ? entries.find(*key) : entries.end();
-        const bool fits = it != entries.end() && file.file_size(error) == it->second.size;
-        if (fits) {
+        const bool matches = it != entries.end() && file.file_size(error) == it->second.size;
+        if (matches) {
           kept.push_back({it->second.order, {*key, it->second.size}});
           entries.erase(it);
         } else {
@@ -79,7 +82,7 @@
       }
     }
     for (const auto& [key, entry] : entries) {
-      index_->erase(kChunks + key.hex());
+      index_->erase(kChunkPrefix + key.hex());
       ++found.dropped;
     }
     for (const auto& file : fs::directory_iterator(directory_ + "/half", error))
@@ -90,16 +93,16 @@
   }
 
   void write(const Key& key, const Chunk& chunk, std::string frame, Done done) override {
-    give([this, key, chunk, frame = std::move(frame), done = std::move(done)] {
+    enqueue([this, key, chunk, frame = std::move(frame), done = std::move(done)] {
       std::string why;
-      DiskEnd end = DiskEnd::kCorrupt;
+      DiskStatus end = DiskStatus::kCorrupt;
       if (const auto plain = unpack_chunk(frame, chunk, why)) end = write_file(key, *plain, why);
-      tell([this, key, size = chunk.size, end, why, done] {
-        if (end == DiskEnd::kOk) {
+      post_result([this, key, size = chunk.size, end, why, done] {
+        if (end == DiskStatus::kOk) {
           std::string value;
           Writer w(value);
           w.u64(next_order_++), w.u32(size);
-          index_->put(kChunks + key.hex(), value);
+          index_->put(kChunkPrefix + key.hex(), value);
           step("chunk-indexed");
         }
         done(end, why);
@@ -107,41 +110,41 @@
     });
   }
 
-  void prove(const Key& key, const Digest& content, Done done) override {
-    give([this, key, content, done = std::move(done)] {
+  void verify(const Key& key, const Digest& content, Done done) override {
+    enqueue([this, key, content, done = std::move(done)] {
       const bool well = digest_of_file(path(key)) == content;
-      tell([well, done] {
-        done(well ? DiskEnd::kOk : DiskEnd::kCorrupt, well ? "" : "the file is not what its digest says");
+      post_result([well, done] {
+        done(well ? DiskStatus::kOk : DiskStatus::kCorrupt, well ? "" : "the file does not match its digest");
       });
     });
   }
 
   void remove(const Key& key) override {
-    index_->erase(kChunks + key.hex());
-    // In the line of the writes: one that follows for the same key is not undone.
-    give([file = path(key)] { ::unlink(file.c_str()); });
+    index_->erase(kChunkPrefix + key.hex());
+    // Queued behind earlier writes, so that a later write of the same key is not undone.
+    enqueue([file = path(key)] { ::unlink(file.c_str()); });
   }
   void put(const std::string& name, std::string bytes) override {
-    index_->put(kVersions + name, bytes);
+    index_->put(kVersionPrefix + name, bytes);
     step("version-recorded");
   }
-  void erase(const std::string& name) override { index_->erase(kVersions + name); }
+  void erase(const std::string& name) override { index_->erase(kVersionPrefix + name); }
   std::string path(const Key& key) const override {
     const std::string hex = key.hex();
     return directory_ + "/chunks/" + hex.substr(0, 2) + "/" + hex;
   }
 
-  // An index that cannot be written costs the next life its cache, and nothing else.
+  // A failed index write only costs the cached chunks after a restart.
   void on_trouble(const std::string&, bool) override {}
   void on_well() override {}
   void on_durable(std::size_t) override {}
 
  private:
-  DiskEnd write_file(const Key& key, const std::string& plain, std::string& why) {
+  DiskStatus write_file(const Key& key, const std::string& plain, std::string& why) {
     step("chunk-begun");
-    const std::string half = directory_ + "/half/" + key.hex(), file = path(key);
-    const int fd = ::open(half.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640);
-    if (fd < 0) return why = std::strerror(errno), end_of(errno);
+    const std::string partial = directory_ + "/half/" + key.hex(), file = path(key);
+    const int fd = ::open(partial.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0640);
+    if (fd < 0) return why = std::strerror(errno), status_of(errno);
     std::size_t at = 0;
     int error = 0;
     while (at < plain.size() && error == 0) {
@@ -153,13 +156,13 @@
     }
     if (::close(fd) != 0 && error == 0) error = errno;
     if (error == 0) step("chunk-written");
-    if (error == 0 && ::rename(half.c_str(), file.c_str()) != 0) error = errno;
+    if (error == 0 && ::rename(partial.c_str(), file.c_str()) != 0) error = errno;
     if (error != 0) {
-      ::unlink(half.c_str());
-      return why = std::strerror(error), end_of(error);
+      ::unlink(partial.c_str());
+      return why = std::strerror(error), status_of(error);
     }
     step("chunk-renamed");
-    return DiskEnd::kOk;
+    return DiskStatus::kOk;
   }
 
   static std::optional<Digest> digest_of_file(const std::string& file) {
@@ -174,22 +177,22 @@
     return n < 0 ? std::nullopt : std::optional(hasher.finish());
   }
 
-  void give(std::function<void()> what) {
+  void enqueue(std::function<void()> task) {
     const std::lock_guard lock(mutex_);
-    line_.push_back(std::move(what));
-    woken_.notify_one();
+    queue_.push_back(std::move(task));
+    wakeup_.notify_one();
   }
-  void tell(std::function<void()> what) {
-    post_([what = std::move(what), alive = alive_] {
-      if (*alive) what();
+  void post_result(std::function<void()> task) {
+    post_([task = std::move(task), alive = alive_] {
+      if (*alive) task();
     });
   }
   void run(const std::stop_token& stop) {
     std::unique_lock lock(mutex_);
-    while (woken_.wait(lock, stop, [this] { return !line_.empty(); })) {
-      if (stop.stop_requested()) return;  // a cache: what is not written is fetched again
-      const auto next = std::move(line_.front());
-      line_.pop_front();
+    while (wakeup_.wait(lock, stop, [this] { return !queue_.empty(); })) {
+      if (stop.stop_requested()) return;  // pending writes are dropped; the chunks are fetched again
+      const auto next = std::move(queue_.front());
+      queue_.pop_front();
       lock.unlock();
       next();
       lock.lock();
@@ -202,8 +205,8 @@
   std::uint64_t next_order_ = 1;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::mutex mutex_;
-  std::condition_variable_any woken_;
-  std::deque<std::function<void()>> line_;
+  std::condition_variable_any wakeup_;
+  std::deque<std::function<void()>> queue_;
   std::jthread thread_;
 };
 
@@ -214,7 +217,7 @@
   std::error_code error;
   for (const char* part : {"/half", "/chunks"}) {
     fs::create_directories(whole + part, error);
-    if (error) return {nullptr, whole + part + " cannot be made: " + error.message()};
+    if (error) return {nullptr, whole + part + " cannot be created: " + error.message()};
   }
   static constexpr char kDigits[] = "0123456789abcdef";
   for (int i = 0; i < 256 && !error; ++i)
--- a/src/layers/layout.cpp
+++ b/src/layers/layout.cpp
@@ -30,7 +30,7 @@
   if (!in) return std::nullopt;
   std::ostringstream bytes;
   bytes << in.rdbuf();
-  return in.bad() ? std::nullopt : std::optional(std::move(bytes).str());
+  return in.fail() ? std::nullopt : std::optional(std::move(bytes).str());
 }
 
 std::string write_layout(const std::string& directory, const std::string& function, std::uint64_t release,
@@ -38,7 +38,7 @@
   std::error_code error;
   if (fs::exists(directory, error) && !fs::is_empty(directory, error)) return directory + " is not empty";
   fs::create_directories(directory + "/blobs/sha256", error);
-  if (error) return directory + " cannot be made: " + error.message();
+  if (error) return directory + " cannot be created: " + error.message();
   Manifest manifest;
   manifest.function = function, manifest.release = release;
   auto blob = [&](const std::string& bytes) {
@@ -58,7 +58,7 @@
   }
   const std::string bytes = write_manifest(manifest);
   std::string why;
-  if (!parse_manifest(bytes, why)) return "what was asked for makes no manifest: " + why;
+  if (!parse_manifest(bytes, why)) return "invalid manifest: " + why;
   if (why = blob(bytes); !why.empty()) return why;
   if (why = blob("{}"); !why.empty()) return why;
   const json index = {
@@ -72,37 +72,37 @@
 }
 
 std::optional<Layout> read_layout(const std::string& directory, std::string& why) {
-  auto bad = [&](const std::string& what) -> std::optional<Layout> {
+  auto fail = [&](const std::string& what) -> std::optional<Layout> {
     why = directory + ": " + what;
     return std::nullopt;
   };
   const auto text = read_file(directory + "/index.json");
-  if (!text) return bad("no index.json: expected an OCI image layout");
+  if (!text) return fail("no index.json: expected an OCI image layout");
   const json doc = json::parse(*text, nullptr, false);
   if (!doc.is_object() || !doc.contains("manifests") || !doc["manifests"].is_array() ||
       doc["manifests"].size() != 1)
-    return bad("index.json: expected one manifest");
+    return fail("index.json: expected one manifest");
   const json& entry = doc["manifests"][0];
   const auto digest = entry.is_object() && entry.contains("digest") && entry["digest"].is_string()
                           ? parse_digest(entry["digest"].get<std::string>())
                           : std::nullopt;
-  if (!digest) return bad("index.json: the manifest's digest is none");
+  if (!digest) return fail("index.json: the manifest's digest is none");
   Layout layout;
   layout.directory = directory;
   const auto bytes = read_file(blob_path(directory, *digest));
   if (!bytes || digest_of(*bytes) != *digest)
-    return bad("the manifest is missing or does not match its digest");
+    return fail("the manifest is missing or does not match its digest");
   layout.manifest_bytes = *bytes;
   std::string reason;
   auto manifest = parse_manifest(*bytes, reason);
-  if (!manifest) return bad(reason);
+  if (!manifest) return fail(reason);
   layout.manifest = std::move(*manifest);
   for (const LayerRef& layer : layout.manifest.layers) {
     const auto index_bytes = read_file(blob_path(directory, layer.index));
     if (!index_bytes || digest_of(*index_bytes) != layer.index)
-      return bad("the index of layer " + layer.title + " is missing or does not match its digest");
+      return fail("the index of layer " + layer.title + " is missing or does not match its digest");
     auto index = parse_index(*index_bytes, reason);
-    if (!index) return bad("layer " + layer.title + ": " + reason);
+    if (!index) return fail("layer " + layer.title + ": " + reason);
     layout.indexes.push_back(std::move(*index));
   }
   return layout;
@@ -120,15 +120,15 @@
       const Chunk& c = layout.indexes[i].chunks[n];
       const std::string where = "layer " + title + ", chunk " + std::to_string(n) + ": ";
       end = c.offset + c.stored_size;
-      if (end > blob->size()) return where + "it lies behind the end of the blob";
+      if (end > blob->size()) return where + "beyond the end of the blob";
       std::string why;
       const auto plain = unpack_chunk(std::string_view(*blob).substr(c.offset, c.stored_size), c, why);
       if (!plain) return where + why;
       whole.add(*plain);
     }
-    if (end != blob->size()) return "layer " + title + ": bytes behind the last chunk";
+    if (end != blob->size()) return "layer " + title + ": trailing bytes after the last chunk";
     if (whole.finish() != layout.indexes[i].content)
-      return "layer " + title + ": the whole does not match its digest";
+      return "layer " + title + ": the layer does not match its digest";
   }
   return {};
 }
--- a/src/layers/layout.h
+++ b/src/layers/layout.h
@@ -1,5 +1,5 @@
-// A packed version as a directory: the OCI image layout (image-spec 1.1, image-layout.md) with one manifest.
-// Blocking file access: for tools only.
+// A packed version in a directory: the OCI image layout (image-spec 1.1, image-layout.md) with one manifest.
+// Uses blocking file access, for command-line tools only.
 #pragma once
 
 #include <string>
@@ -13,26 +13,26 @@
   std::string directory;
   std::string manifest_bytes;
   Manifest manifest;
-  std::vector<Index> indexes;  // of the layers, in order
+  std::vector<Index> indexes;  // in layer order
 };
 
 struct LayerFile {
   std::string title, path;
 };
-// Packs the files, a layer each, into a new or empty directory. A reason if it fails.
+// Packs each file as a layer into a new or empty directory. Returns the reason on failure.
 std::string write_layout(const std::string& directory, const std::string& function, std::uint64_t release,
                          const std::vector<LayerFile>& files, const ChunkerOptions& options, int level);
-// Manifest and indexes, whose digests are checked. Nothing, with the reason, if it is no layout of ours.
+// Reads the manifest and indexes and checks their digests. Returns nothing, with the reason, on failure.
 std::optional<Layout> read_layout(const std::string& directory, std::string& why);
-// Unpacks every chunk of every layer against all digests. A reason for the first that does not fit.
+// Unpacks all chunks and checks all digests. Returns the reason for the first mismatch, else an empty string.
 std::string verify_layout(const Layout& layout);
 std::string blob_path(const std::string& directory, const Digest& digest);
 std::optional<std::string> read_file(const std::string& path);
 
-// What a box that holds `have` still fetches for `want`.
+// What a host that has the chunks of `have` must fetch for `want`.
 struct MissingChunks {
-  std::uint64_t chunks = 0, bytes = 0;          // to be fetched, as stored
-  std::uint64_t all_chunks = 0, all_bytes = 0;  // of `want`
+  std::uint64_t chunks = 0, bytes = 0;          // missing, in compressed bytes
+  std::uint64_t all_chunks = 0, all_bytes = 0;  // all chunks of `want`
 };
 MissingChunks missing_chunks(const std::vector<Index>& want, const std::vector<Index>& have);
 
--- a/src/layers/remote.h
+++ b/src/layers/remote.h
@@ -1,5 +1,5 @@
-// The store as the agent sees it: one attempt at one thing. The client end of the OCI distribution API
-// (distribution-spec 1.1, "Pull"), without credentials.
+// Interface for a single attempt to fetch an object from a store, and its implementation as a client of the
+// OCI distribution API (distribution-spec 1.1, "Pull"), without credentials.
 #pragma once
 
 #include <functional>
@@ -12,62 +12,62 @@
 
 namespace laureltide::layers {
 
-struct RemoteRequest {
+struct StoreRequest {
   enum class Kind { kManifest, kBlob } kind = Kind::kManifest;
-  std::string repository, reference;  // a tag or digest; for a blob a digest
-  bool ranged = false;                // only `size` bytes from `offset`
+  std::string repository, reference;  // a tag or digest; always a digest for a blob
+  bool ranged = false;                // request only `size` bytes from `offset`
   std::uint64_t offset = 0;
-  std::size_t size = 0;  // of what is expected; without `ranged` the most that is taken
+  std::size_t size = 0;  // expected size; without `ranged` the maximum
   std::uint32_t replica = 0;
 };
-struct RemoteResult {
+struct StoreResponse {
   FetchOutcome end = FetchOutcome::kBroken;
   std::string bytes, why;
   Duration retry_after{};
 };
 
-class Remote {
+class RemoteStore {
  public:
-  using Done = std::function<void(RemoteResult)>;
-  virtual ~Remote() = default;
-  // `done` comes once, never from within the call, unless it is called off.
-  virtual std::uint64_t fetch(const RemoteRequest& request, Done done) = 0;
-  virtual void call_off(std::uint64_t ticket) = 0;
+  using Done = std::function<void(StoreResponse)>;
+  virtual ~RemoteStore() = default;
+  // `done` is called once, after this returns, unless the fetch is cancelled.
+  virtual std::uint64_t fetch(const StoreRequest& request, Done done) = 0;
+  virtual void cancel(std::uint64_t ticket) = 0;
 };
 
 struct RegistryClientOptions {
   std::vector<io::Address> replicas;
-  std::string name = "laureltide-layers";      // User-Agent
-  Duration within = std::chrono::seconds(10);  // a whole answer, and so much more for each `pace` bytes of it
-  std::size_t pace = 256U << 10;               // bytes a second, the slowest that is borne
+  std::string name = "laureltide-layers";       // User-Agent
+  Duration timeout = std::chrono::seconds(10);  // plus `size` / `min_bytes_per_s` for ranged fetches
+  std::size_t min_bytes_per_s = 256U << 10;     // slowest accepted transfer rate
 };
 
-class RegistryClient : public Remote {
+class RegistryClient : public RemoteStore {
  public:
   RegistryClient(io::Host& host, RegistryClientOptions options);
-  std::uint64_t fetch(const RemoteRequest& request, Done done) override;
-  void call_off(std::uint64_t ticket) override;
+  std::uint64_t fetch(const StoreRequest& request, Done done) override;
+  void cancel(std::uint64_t ticket) override;
 
  private:
-  struct Out {
-    RemoteRequest request;
+  struct InFlight {
+    StoreRequest request;
     Done done;
-    int hops = 0;
+    int redirects = 0;
     std::unique_ptr<http::Exchange> exchange;
   };
-  void ask(std::uint64_t ticket, Out& out, const io::Address& at, const std::string& target);
-  void answered(std::uint64_t ticket, const io::Address& at, http::Exchange::Result result);
+  void send_request(std::uint64_t ticket, InFlight& out, const io::Address& at, const std::string& target);
+  void on_response(std::uint64_t ticket, const io::Address& at, http::Exchange::Result result);
 
   io::Host& host_;
   RegistryClientOptions options_;
-  std::map<std::uint64_t, std::unique_ptr<Out>> out_;
-  io::Graveyard<Out> dead_;
+  std::map<std::uint64_t, std::unique_ptr<InFlight>> in_flight_;
+  io::Graveyard<InFlight> retired_;
   std::uint64_t next_ = 1;
 };
 
-// distribution-spec: the form of a repository's name.
+// Checks a repository name against the distribution-spec.
 bool valid_repository(std::string_view name);
-// "Retry-After" in seconds (RFC 9110, 10.2.3); a date is not understood, and gives nothing.
+// Retry-After in seconds (RFC 9110, 10.2.3); the date form is ignored and gives 0.
 Duration retry_after_of(const http::Headers& headers);
 
 }  // namespace laureltide::layers
--- a/src/layers/scheduler.cpp
+++ b/src/layers/scheduler.cpp
@@ -13,13 +13,14 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(s));
 }
 
-constexpr double kCut = 0.5;           // of the window, at a refusal or break
-constexpr double kSlowCut = 0.7;       // at slowness
-constexpr double kRecent = 0.1;        // weight of a new fetch's time in the recent one
-constexpr double kFloorDrift = 1.002;  // the usual time forgets its best slowly: stores change
-constexpr Duration kBadReplica = std::chrono::seconds(30);  // a replica that sent corrupt bytes rests
-
-// splitmix64: jitter needs no more, and the same seed gives the same waits.
+constexpr double kFailureWindowFactor = 0.5;  // window factor on a refusal or failure
+constexpr double kSlowWindowFactor = 0.7;     // window factor on slowness
+constexpr double kRecentWeight = 0.1;         // weight of a new sample in the recent mean duration
+constexpr double kBaselineDrift = 1.002;      // lets the baseline drift up slowly, because stores change
+constexpr Duration kCorruptReplicaCooldown =
+    std::chrono::seconds(30);  // a replica that sent corrupt bytes is avoided
+
+// splitmix64: sufficient for jitter, and deterministic for a seed.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -34,41 +35,42 @@
   std::uint64_t state_;
 };
 
-// Tokens that trickle in and are earned, up to a most.
+// Token bucket, refilled over time and by successes up to its capacity.
 struct Budget {
-  double tokens = 0, most = 0, per_s = 0;
+  double tokens = 0, capacity = 0, per_s = 0;
   Time at{};
   void fill(Time now) {
-    if (now > at) tokens = std::min(most, tokens + per_s * seconds(now - at)), at = now;
+    if (now > at) tokens = std::min(capacity, tokens + per_s * seconds(now - at)), at = now;
   }
-  void earn(double n) { tokens = std::min(most, tokens + n); }
+  void earn(double n) { tokens = std::min(capacity, tokens + n); }
   bool spend(Time now) {
     fill(now);
     if (tokens < 1) return false;
     tokens -= 1;
     return true;
   }
-  Duration until_one() const {
+  Duration time_to_next() const {
     return per_s > 0 ? from_seconds(std::max(0.0, 1 - tokens) / per_s) : Duration(0);
   }
 };
 
-// Start-time fair queueing among children of one parent: the child whose next piece starts earliest in
-// virtual time goes first, and pays for what it took.
+// Start-time fair queueing among the children of one parent: the child with the earliest virtual start time
+// goes first and is charged for its cost.
 template <class Key>
-class Turns {
+class FairOrder {
  public:
-  void enter(Key key) {
+  void add(Key key) {
     double& tag = tags_[key];
     tag = std::max(tag, virtual_);
     ready_.emplace(tag, key);
   }
-  void leave(Key key) {
+  void remove(Key key) {
     const auto it = tags_.find(key);
     if (it != tags_.end()) ready_.erase({it->second, key});
   }
-  void forget(Key key) {  // it has nothing any more; its debt, if any, stays for a while
-    leave(key);
+  void remove_idle(Key key) {  // the child has no fetches; its virtual time is kept for a while so that debt
+                               // is not forgotten
+    remove(key);
     if (tags_.size() <= 4 * ready_.size() + 64) return;
     std::erase_if(tags_, [&](const auto& t) {
       return t.second <= virtual_ && !ready_.contains({t.second, t.first});
@@ -79,10 +81,10 @@
   void charge(Key key, double cost) {
     const auto it = tags_.find(key);
     if (it == tags_.end()) return;
-    const bool was = ready_.erase({it->second, key}) > 0;
+    const bool ended_attempt = ready_.erase({it->second, key}) > 0;
     virtual_ = std::max(virtual_, it->second);
     it->second += cost;
-    if (was) ready_.emplace(it->second, key);
+    if (ended_attempt) ready_.emplace(it->second, key);
   }
 
  private:
@@ -109,46 +111,51 @@
     Time since{};
     bool hedge = false;
   };
-  enum class Place { kLine, kPause, kOut };  // in its line, until it is tried again, or with attempts out
+  enum class Stage {
+    kQueued,
+    kBackoff,
+    kRunning
+  };  // queued, waiting for a retry, or with attempts in flight
   struct Item {
     Fetch fetch;
-    Place place = Place::kLine;
-    std::list<std::uint64_t>::iterator in_line;
-    std::multimap<Time, std::uint64_t>::iterator in_pause;
+    Stage stage = Stage::kQueued;
+    std::list<std::uint64_t>::iterator queue_position;
+    std::multimap<Time, std::uint64_t>::iterator backoff_position;
     Time added{};
-    std::vector<Attempt> out;
-    std::uint32_t tried = 0, turned_away = 0, next_attempt = 0;
-    std::optional<std::uint32_t> bad_replica;  // of the last attempt that failed
+    std::vector<Attempt> in_flight;
+    std::uint32_t failures = 0, busy_answers = 0, next_attempt = 0;
+    std::optional<std::uint32_t> failed_replica;  // replica of the last failed attempt
     bool hedged = false;
   };
-  struct Functions {  // of one tenant at one level
-    std::map<std::uint64_t, std::list<std::uint64_t>> lines;
-    Turns<std::uint64_t> turns;
+  struct TenantQueue {  // one tenant at one level
+    std::map<std::uint64_t, std::list<std::uint64_t>> queues;
+    FairOrder<std::uint64_t> fair_order;
   };
-  struct Lane {  // one level of one store
-    std::map<std::uint32_t, Functions> tenants;
-    Turns<std::uint32_t> turns;
-    std::set<std::uint32_t> parked;  // at their bound of fetches at once
+  struct LevelQueue {  // one level of one store
+    std::map<std::uint32_t, TenantQueue> tenants;
+    FairOrder<std::uint32_t> fair_order;
+    std::set<std::uint32_t> at_limit;  // tenants at their limit of concurrent fetches
     std::set<std::pair<Time, std::uint64_t>> by_age;
     std::size_t running = 0;
     Budget bytes;
   };
   struct Replica {
     std::size_t running = 0;
-    Time bad_until{};
+    Time avoid_until{};
   };
   struct Store {
     double window = 0;
     std::size_t running = 0;
-    Time rest_until{}, cut_at{};
-    double recent_s = 0, usual_s = 0;
+    Time cooldown_until{}, last_cut{};
+    double recent_s = 0, baseline_s = 0;
     std::vector<Replica> replicas{1};
-    Lane lanes[kLevels];
-    Budget repeats, hedges;
-    int starts = 0;
-    bool full = false;  // more would run, if the window were larger
-    std::multimap<Time, std::uint64_t> pauses;
-    std::set<std::pair<Time, std::uint64_t>> hedgeable;  // out alone, for calls and holds, by their start
+    LevelQueue levels[kLevels];
+    Budget retries, hedges;
+    int start_count = 0;
+    bool window_full = false;  // more fetches would run with a larger window
+    std::multimap<Time, std::uint64_t> backoffs;
+    std::set<std::pair<Time, std::uint64_t>>
+        hedgeable;  // calls and holds with one attempt in flight, by start time
   };
 
   Impl(SchedulerOptions o, std::uint64_t seed) : options(o), random(seed) {}
@@ -159,78 +166,78 @@
   std::unordered_map<std::uint64_t, Item> items;
   std::map<std::uint32_t, std::size_t> tenant_running;
   std::map<std::uint32_t, double> weights;
-  std::uint64_t repeated = 0, hedged = 0;
+  std::uint64_t retry_count = 0, hedged = 0;
 
   Store& store(std::uint32_t number) {
     const auto [it, fresh] = stores.try_emplace(number);
     Store& s = it->second;
     if (fresh) {
-      s.window = options.first_window;
-      s.repeats = {options.most_repeats, options.most_repeats, options.repeats_per_s, {}};
-      s.hedges = {options.most_hedges, options.most_hedges, 0, {}};
+      s.window = options.initial_window;
+      s.retries = {options.max_retry_tokens, options.max_retry_tokens, options.retry_tokens_per_s, {}};
+      s.hedges = {options.max_hedge_tokens, options.max_hedge_tokens, 0, {}};
       for (std::size_t l = 0; l < kLevels; ++l) {
-        // A second's worth may go at once.
+        // The burst size is one second's rate.
         const double rate = options.bytes_per_s[l];
-        s.lanes[l].bytes = {rate, rate, rate, {}};
+        s.levels[l].bytes = {rate, rate, rate, {}};
       }
     }
     return s;
   }
-  Lane& lane(const Fetch& f) { return store(f.store).lanes[static_cast<std::size_t>(f.level)]; }
+  LevelQueue& level_queue(const Fetch& f) { return store(f.store).levels[static_cast<std::size_t>(f.level)]; }
   double weight(std::uint32_t tenant) const {
     const auto it = weights.find(tenant);
     return it == weights.end() ? 1 : it->second;
   }
   bool tenant_full(std::uint32_t tenant) const {
-    if (options.tenant_at_once == 0) return false;
+    if (options.max_running_per_tenant == 0) return false;
     const auto it = tenant_running.find(tenant);
-    return it != tenant_running.end() && it->second >= options.tenant_at_once;
+    return it != tenant_running.end() && it->second >= options.max_running_per_tenant;
   }
 
-  // ---- Lines ----
+  // ---- Queues ----
 
-  void enter(std::uint64_t id, Item& item, bool in_front) {
-    Lane& l = lane(item.fetch);
-    Functions& functions = l.tenants[item.fetch.tenant];
-    auto& line = functions.lines[item.fetch.function];
-    if (functions.lines.size() == 1 && line.empty() && !l.parked.contains(item.fetch.tenant))
-      l.turns.enter(item.fetch.tenant);
-    if (line.empty()) functions.turns.enter(item.fetch.function);
-    item.in_line = line.insert(in_front ? line.begin() : line.end(), id);
-    item.place = Place::kLine;
+  void enqueue(std::uint64_t id, Item& item, bool in_front) {
+    LevelQueue& l = level_queue(item.fetch);
+    TenantQueue& tenant_queue = l.tenants[item.fetch.tenant];
+    auto& queue = tenant_queue.queues[item.fetch.function];
+    if (tenant_queue.queues.size() == 1 && queue.empty() && !l.at_limit.contains(item.fetch.tenant))
+      l.fair_order.add(item.fetch.tenant);
+    if (queue.empty()) tenant_queue.fair_order.add(item.fetch.function);
+    item.queue_position = queue.insert(in_front ? queue.begin() : queue.end(), id);
+    item.stage = Stage::kQueued;
     l.by_age.emplace(item.added, id);
   }
-  void leave_line(std::uint64_t id, Item& item) {
-    Lane& l = lane(item.fetch);
+  void dequeue(std::uint64_t id, Item& item) {
+    LevelQueue& l = level_queue(item.fetch);
     const auto t = l.tenants.find(item.fetch.tenant);
-    const auto f = t->second.lines.find(item.fetch.function);
-    f->second.erase(item.in_line);
+    const auto f = t->second.queues.find(item.fetch.function);
+    f->second.erase(item.queue_position);
     l.by_age.erase({item.added, id});
     if (f->second.empty()) {
-      t->second.turns.forget(item.fetch.function);
-      t->second.lines.erase(f);
+      t->second.fair_order.remove_idle(item.fetch.function);
+      t->second.queues.erase(f);
     }
-    if (t->second.lines.empty()) l.turns.forget(item.fetch.tenant);
+    if (t->second.queues.empty()) l.fair_order.remove_idle(item.fetch.tenant);
   }
-  void unpark(std::uint32_t tenant) {
+  void restore_tenant(std::uint32_t tenant) {
     for (auto& [number, s] : stores)
-      for (Lane& l : s.lanes)
-        if (l.parked.erase(tenant) > 0 && !l.tenants[tenant].lines.empty()) l.turns.enter(tenant);
+      for (LevelQueue& l : s.levels)
+        if (l.at_limit.erase(tenant) > 0 && !l.tenants[tenant].queues.empty()) l.fair_order.add(tenant);
   }
 
   // ---- Starting ----
 
-  std::size_t room(const Store& s, std::size_t level) const {
+  std::size_t free_slots(const Store& s, std::size_t level) const {
     const auto window = static_cast<std::size_t>(s.window);
     if (s.running >= window) return 0;
     const auto most = std::max<std::size_t>(1, static_cast<std::size_t>(s.window * options.share[level]));
-    const std::size_t running = s.lanes[level].running;
+    const std::size_t running = s.levels[level].running;
     return running >= most ? 0 : std::min(most - running, window - s.running);
   }
-  bool may_pay(Lane& l, Time now) const {
+  bool within_byte_rate(LevelQueue& l, Time now) const {
     if (l.bytes.per_s <= 0) return true;
     l.bytes.fill(now);
-    return l.bytes.tokens > 0;  // the last one may overdraw: the next waits for it
+    return l.bytes.tokens > 0;  // the last fetch may overdraw; the next waits for the refill
   }
 
   std::uint32_t choose_replica(const Store& s, const Item& item, Time now) {
@@ -238,9 +245,9 @@
     double least = 0;
     for (std::uint32_t r = 0; r < s.replicas.size(); ++r) {
       double cost = static_cast<double>(s.replicas[r].running) + random.unit() / 2;
-      if (s.replicas[r].bad_until > now) cost += 1e6;
-      if (item.bad_replica == r) cost += 1e9;  // it is known to have failed just this
-      for (const Attempt& a : item.out)
+      if (s.replicas[r].avoid_until > now) cost += 1e6;
+      if (item.failed_replica == r) cost += 1e9;  // it has failed this very fetch
+      for (const Attempt& a : item.in_flight)
         if (a.replica == r) cost += 1e9;
       if (r == 0 || cost < least) best = r, least = cost;
     }
@@ -251,35 +258,35 @@
     const std::uint32_t replica = choose_replica(s, item, now);
     ++s.replicas[replica].running;
     ++s.running;
-    Lane& l = lane(item.fetch);
+    LevelQueue& l = level_queue(item.fetch);
     ++l.running;
     ++tenant_running[item.fetch.tenant];
     const double cost = static_cast<double>(std::max<std::uint32_t>(item.fetch.bytes, 1));
     if (l.bytes.per_s > 0) l.bytes.tokens -= cost;
-    if (item.out.empty()) s.hedgeable.emplace(now, id);
+    if (item.in_flight.empty()) s.hedgeable.emplace(now, id);
     const Attempt a{item.next_attempt++, replica, now, hedge};
-    item.out.push_back(a);
-    item.place = Place::kOut;
+    item.in_flight.push_back(a);
+    item.stage = Stage::kRunning;
     return {id, a.number, replica, hedge};
   }
 
   std::optional<ScheduledAttempt> start_from(Time now, Store& s, std::size_t level) {
-    Lane& l = s.lanes[level];
-    while (!l.turns.empty()) {
-      const std::uint32_t tenant = l.turns.first();
+    LevelQueue& l = s.levels[level];
+    while (!l.fair_order.empty()) {
+      const std::uint32_t tenant = l.fair_order.first();
       if (tenant_full(tenant)) {
-        l.turns.leave(tenant);
-        l.parked.insert(tenant);
+        l.fair_order.remove(tenant);
+        l.at_limit.insert(tenant);
         continue;
       }
-      Functions& functions = l.tenants[tenant];
-      const std::uint64_t function = functions.turns.first();
-      const std::uint64_t id = functions.lines[function].front();
+      TenantQueue& tenant_queue = l.tenants[tenant];
+      const std::uint64_t function = tenant_queue.fair_order.first();
+      const std::uint64_t id = tenant_queue.queues[function].front();
       Item& item = items.at(id);
       const double cost = static_cast<double>(std::max<std::uint32_t>(item.fetch.bytes, 1));
-      functions.turns.charge(function, cost);
-      l.turns.charge(tenant, cost / weight(tenant));
-      leave_line(id, item);
+      tenant_queue.fair_order.charge(function, cost);
+      l.fair_order.charge(tenant, cost / weight(tenant));
+      dequeue(id, item);
       return start(now, s, id, item, false);
     }
     return std::nullopt;
@@ -288,29 +295,29 @@
   std::optional<ScheduledAttempt> start_aged(Time now, Store& s) {
     std::optional<std::pair<Time, std::uint64_t>> oldest;
     for (std::size_t level = 1; level < kLevels; ++level) {
-      Lane& l = s.lanes[level];
-      if (l.by_age.empty() || room(s, level) == 0 || !may_pay(l, now)) continue;
-      if (now - l.by_age.begin()->first < options.aged_after) continue;
+      LevelQueue& l = s.levels[level];
+      if (l.by_age.empty() || free_slots(s, level) == 0 || !within_byte_rate(l, now)) continue;
+      if (now - l.by_age.begin()->first < options.aged_start_age) continue;
       if (tenant_full(items.at(l.by_age.begin()->second).fetch.tenant)) continue;
       if (!oldest || *l.by_age.begin() < *oldest) oldest = *l.by_age.begin();
     }
     if (!oldest) return std::nullopt;
     Item& item = items.at(oldest->second);
-    leave_line(oldest->second, item);
+    dequeue(oldest->second, item);
     return start(now, s, oldest->second, item, false);
   }
 
-  Duration hedge_wait(const Store& s) const {
-    return std::max(options.hedge_after, from_seconds(3 * s.usual_s));
+  Duration hedge_delay(const Store& s) const {
+    return std::max(options.hedge_after, from_seconds(3 * s.baseline_s));
   }
   std::optional<ScheduledAttempt> start_hedge(Time now, Store& s) {
     if (s.replicas.size() < 2 || s.hedgeable.empty() || static_cast<std::size_t>(s.window) <= s.running)
       return std::nullopt;
     while (!s.hedgeable.empty()) {
       const auto [since, id] = *s.hedgeable.begin();
-      if (now - since < hedge_wait(s)) return std::nullopt;
+      if (now - since < hedge_delay(s)) return std::nullopt;
       Item& item = items.at(id);
-      if (item.fetch.level > Level::kHold || item.hedged || item.out.size() != 1) {
+      if (item.fetch.level > Level::kHold || item.hedged || item.in_flight.size() != 1) {
         s.hedgeable.erase(s.hedgeable.begin());
         continue;
       }
@@ -323,67 +330,69 @@
     return std::nullopt;
   }
 
-  std::optional<ScheduledAttempt> next_of(Time now, Store& s) {
-    while (!s.pauses.empty() && s.pauses.begin()->first <= now) {
-      const std::uint64_t id = s.pauses.begin()->second;
-      s.pauses.erase(s.pauses.begin());
-      enter(id, items.at(id), true);
+  std::optional<ScheduledAttempt> next_of_store(Time now, Store& s) {
+    while (!s.backoffs.empty() && s.backoffs.begin()->first <= now) {
+      const std::uint64_t id = s.backoffs.begin()->second;
+      s.backoffs.erase(s.backoffs.begin());
+      enqueue(id, items.at(id), true);
     }
-    if (s.rest_until > now) return std::nullopt;
-    // Reserved for the aged by count, not by time: under any load one start in so many is theirs.
-    if (s.starts % options.aged_every == options.aged_every - 1)
-      if (auto aged = start_aged(now, s)) return ++s.starts, aged;
+    if (s.cooldown_until > now) return std::nullopt;
+    // Aged fetches get a fixed fraction of the starts, which holds under any load.
+    if (s.start_count % options.aged_start_interval == options.aged_start_interval - 1)
+      if (auto aged = start_aged(now, s)) return ++s.start_count, aged;
     for (std::size_t level = 0; level < kLevels; ++level) {
-      if (room(s, level) == 0 || !may_pay(s.lanes[level], now)) continue;
-      if (auto started = start_from(now, s, level)) return ++s.starts, started;
+      if (free_slots(s, level) == 0 || !within_byte_rate(s.levels[level], now)) continue;
+      if (auto started = start_from(now, s, level)) return ++s.start_count, started;
     }
-    s.full =
-        s.running >= static_cast<std::size_t>(s.window) &&
-        std::any_of(std::begin(s.lanes), std::end(s.lanes), [](const Lane& l) { return !l.by_age.empty(); });
+    s.window_full = s.running >= static_cast<std::size_t>(s.window) &&
+                    std::any_of(std::begin(s.levels), std::end(s.levels),
+                                [](const LevelQueue& l) { return !l.by_age.empty(); });
     return start_hedge(now, s);
   }
 
-  // ---- Ends ----
+  // ---- Finishing ----
 
-  void cut(Store& s, Time now, double by) {
-    if (now - s.cut_at < options.cut_every) return;
-    s.cut_at = now;
-    s.window = std::max(options.least_window, s.window * by);
+  void shrink_window(Store& s, Time now, double factor) {
+    if (now - s.last_cut < options.min_cut_interval) return;
+    s.last_cut = now;
+    s.window = std::max(options.min_window, s.window * factor);
   }
-  void served(Store& s, Time now, Duration took) {
-    const double t = std::max(seconds(took), 1e-6);
-    s.recent_s = s.recent_s <= 0 ? t : s.recent_s + kRecent * (t - s.recent_s);
-    s.usual_s = s.usual_s <= 0 ? t : std::min(s.usual_s * kFloorDrift, std::max(s.recent_s, 1e-6));
-    if (s.recent_s > options.slow_at * s.usual_s)
-      cut(s, now, kSlowCut);
-    else if (s.full)
+  void on_success(Store& s, Time now, Duration duration) {
+    const double t = std::max(seconds(duration), 1e-6);
+    s.recent_s = s.recent_s <= 0 ? t : s.recent_s + kRecentWeight * (t - s.recent_s);
+    s.baseline_s =
+        s.baseline_s <= 0 ? t : std::min(s.baseline_s * kBaselineDrift, std::max(s.recent_s, 1e-6));
+    if (s.recent_s > options.slow_ratio * s.baseline_s)
+      shrink_window(s, now, kSlowWindowFactor);
+    else if (s.window_full)
       s.window = std::min(options.max_window, s.window + 1 / s.window);
-    s.repeats.earn(options.repeats_per_success);
+    s.retries.earn(options.retries_per_success);
     s.hedges.earn(options.hedges_per_success);
   }
-  void rest(Store& s, Time now, Duration asked) {
-    // Boxes that were refused together do not come back together.
+  void start_cooldown(Store& s, Time now, Duration requested) {
+    // Jitter, so that hosts refused at the same time do not return at the same time.
     const Duration wait =
-        std::min(options.longest_rest, from_seconds(seconds(asked) * (1 + random.unit() / 2)));
-    s.rest_until = std::max(s.rest_until, now + wait);
+        std::min(options.max_cooldown, from_seconds(seconds(requested) * (1 + random.unit() / 2)));
+    s.cooldown_until = std::max(s.cooldown_until, now + wait);
   }
-  void end_attempt(Item& item, std::size_t at) {
+  void finish_attempt(Item& item, std::size_t at) {
     Store& s = store(item.fetch.store);
-    const Attempt a = item.out[at];
+    const Attempt a = item.in_flight[at];
     --s.replicas[a.replica].running;
     --s.running;
-    --lane(item.fetch).running;
-    if (item.out.size() == 1 || at == 0) s.hedgeable.erase({item.out.front().since, item.fetch.id});
-    item.out.erase(item.out.begin() + static_cast<std::ptrdiff_t>(at));
+    --level_queue(item.fetch).running;
+    if (item.in_flight.size() == 1 || at == 0)
+      s.hedgeable.erase({item.in_flight.front().since, item.fetch.id});
+    item.in_flight.erase(item.in_flight.begin() + static_cast<std::ptrdiff_t>(at));
     const auto t = tenant_running.find(item.fetch.tenant);
     if (--t->second == 0) tenant_running.erase(t);
-    if (options.tenant_at_once > 0) unpark(item.fetch.tenant);
+    if (options.max_running_per_tenant > 0) restore_tenant(item.fetch.tenant);
   }
-  std::vector<std::uint32_t> end_all(Item& item) {
+  std::vector<std::uint32_t> finish_all_attempts(Item& item) {
     std::vector<std::uint32_t> numbers;
-    while (!item.out.empty()) {
-      numbers.push_back(item.out.back().number);
-      end_attempt(item, item.out.size() - 1);
+    while (!item.in_flight.empty()) {
+      numbers.push_back(item.in_flight.back().number);
+      finish_attempt(item, item.in_flight.size() - 1);
     }
     return numbers;
   }
@@ -402,12 +411,12 @@
 }
 
 bool Scheduler::add(Time now, const Fetch& fetch) {
-  if (impl_->items.size() >= impl_->options.most_waiting) return false;
+  if (impl_->items.size() >= impl_->options.max_fetches) return false;
   const auto [it, fresh] = impl_->items.try_emplace(fetch.id);
   if (!fresh) return raise(now, fetch.id, fetch.level), true;
   it->second.fetch = fetch;
   it->second.added = now;
-  impl_->enter(fetch.id, it->second, false);
+  impl_->enqueue(fetch.id, it->second, false);
   return true;
 }
 
@@ -415,19 +424,20 @@
   const auto it = impl_->items.find(id);
   if (it == impl_->items.end() || it->second.fetch.level <= level) return;
   Impl::Item& item = it->second;
-  switch (item.place) {
-    case Impl::Place::kLine:
-      impl_->leave_line(id, item);
+  switch (item.stage) {
+    case Impl::Stage::kQueued:
+      impl_->dequeue(id, item);
       item.fetch.level = level;
-      impl_->enter(id, item, false);
+      impl_->enqueue(id, item, false);
       break;
-    case Impl::Place::kOut:  // what runs counts at its new level
-      impl_->lane(item.fetch).running -= item.out.size();
+    case Impl::Stage::kRunning:  // running attempts count at the new level
+      impl_->level_queue(item.fetch).running -= item.in_flight.size();
       item.fetch.level = level;
-      impl_->lane(item.fetch).running += item.out.size();
-      if (item.out.size() == 1) impl_->store(item.fetch.store).hedgeable.emplace(item.out[0].since, id);
+      impl_->level_queue(item.fetch).running += item.in_flight.size();
+      if (item.in_flight.size() == 1)
+        impl_->store(item.fetch.store).hedgeable.emplace(item.in_flight[0].since, id);
       break;
-    case Impl::Place::kPause: item.fetch.level = level; break;
+    case Impl::Stage::kBackoff: item.fetch.level = level; break;
   }
 }
 
@@ -435,126 +445,128 @@
   const auto it = impl_->items.find(id);
   if (it == impl_->items.end()) return {};
   Impl::Item& item = it->second;
-  if (item.place == Impl::Place::kLine) impl_->leave_line(id, item);
-  if (item.place == Impl::Place::kPause) impl_->store(item.fetch.store).pauses.erase(item.in_pause);
-  auto numbers = impl_->end_all(item);
+  if (item.stage == Impl::Stage::kQueued) impl_->dequeue(id, item);
+  if (item.stage == Impl::Stage::kBackoff)
+    impl_->store(item.fetch.store).backoffs.erase(item.backoff_position);
+  auto numbers = impl_->finish_all_attempts(item);
   impl_->items.erase(it);
   return numbers;
 }
 
 std::optional<ScheduledAttempt> Scheduler::next(Time now) {
   for (auto& [number, store] : impl_->stores)
-    if (auto start = impl_->next_of(now, store)) return start;
+    if (auto start = impl_->next_of_store(now, store)) return start;
   return std::nullopt;
 }
 
-Verdict Scheduler::on_attempt_ended(Time now, std::uint64_t id, std::uint32_t attempt, FetchOutcome end,
-                                    Duration retry_after) {
+AttemptVerdict Scheduler::on_attempt_ended(Time now, std::uint64_t id, std::uint32_t attempt,
+                                           FetchOutcome end, Duration retry_after) {
   const auto it = impl_->items.find(id);
   if (it == impl_->items.end()) return {};
   Impl::Item& item = it->second;
-  const auto at =
-      std::find_if(item.out.begin(), item.out.end(), [&](auto& a) { return a.number == attempt; });
-  if (at == item.out.end()) return {Verdict::Kind::kAgain, "", {}};
+  const auto at = std::find_if(item.in_flight.begin(), item.in_flight.end(),
+                               [&](auto& a) { return a.number == attempt; });
+  if (at == item.in_flight.end()) return {AttemptVerdict::Kind::kRetry, "", {}};
   Impl::Store& s = impl_->store(item.fetch.store);
-  const Impl::Attempt was = *at;
-  impl_->end_attempt(item, static_cast<std::size_t>(at - item.out.begin()));
+  const Impl::Attempt ended_attempt = *at;
+  impl_->finish_attempt(item, static_cast<std::size_t>(at - item.in_flight.begin()));
   if (end == FetchOutcome::kOk) {
-    impl_->served(s, now, now - was.since);
-    Verdict done{Verdict::Kind::kDone, "", impl_->end_all(item)};
+    impl_->on_success(s, now, now - ended_attempt.since);
+    AttemptVerdict done{AttemptVerdict::Kind::kDone, "", impl_->finish_all_attempts(item)};
     impl_->items.erase(it);
     return done;
   }
   const char* why = "";
-  bool again = true;
+  bool retryable = true;
   switch (end) {
     case FetchOutcome::kBusy:
       why = "the store turned it away";
-      impl_->cut(s, now, kCut);
-      if (retry_after > Duration(0)) impl_->rest(s, now, retry_after);
+      impl_->shrink_window(s, now, kFailureWindowFactor);
+      if (retry_after > Duration(0)) impl_->start_cooldown(s, now, retry_after);
       break;
     case FetchOutcome::kBroken:
       why = "the store's answer broke off or did not come";
-      impl_->cut(s, now, kCut);
+      impl_->shrink_window(s, now, kFailureWindowFactor);
       break;
     case FetchOutcome::kCorrupt:
       why = "the store sent other bytes than the digest names";
-      s.replicas[was.replica].bad_until = now + kBadReplica;
+      s.replicas[ended_attempt.replica].avoid_until = now + kCorruptReplicaCooldown;
       break;
     case FetchOutcome::kMissing:
       why = "the store does not have it";
-      again = s.replicas.size() > 1;  // another replica may
+      retryable = s.replicas.size() > 1;  // another replica may have it
       break;
     case FetchOutcome::kRefused:
       why = "the store refuses it";
-      again = false;
+      retryable = false;
       break;
     case FetchOutcome::kOk: break;
   }
-  item.bad_replica = was.replica;
+  item.failed_replica = ended_attempt.replica;
   const bool busy = end == FetchOutcome::kBusy;
-  if (!was.hedge) busy ? ++item.turned_away : ++item.tried;
-  if (!item.out.empty()) return {Verdict::Kind::kAgain, why, {}};
+  if (!ended_attempt.hedge) busy ? ++item.busy_answers : ++item.failures;
+  if (!item.in_flight.empty()) return {AttemptVerdict::Kind::kRetry, why, {}};
   const SchedulerOptions& o = impl_->options;
-  const bool too_long = busy && now - item.added > o.longest_busy;
-  if (!again || too_long || item.tried >= static_cast<std::uint32_t>(o.most_attempts)) {
-    Verdict gave_up{Verdict::Kind::kGaveUp, why, {}};
-    if (again) gave_up.why += " (" + std::to_string(item.tried + item.turned_away) + " attempts)";
+  const bool too_long = busy && now - item.added > o.max_busy_duration;
+  if (!retryable || too_long || item.failures >= static_cast<std::uint32_t>(o.max_attempts)) {
+    AttemptVerdict gave_up{AttemptVerdict::Kind::kGaveUp, why, {}};
+    if (retryable) gave_up.why += " (" + std::to_string(item.failures + item.busy_answers) + " attempts)";
     impl_->items.erase(it);
     return gave_up;
   }
-  // Full jitter over a doubling pause, and behind that whatever the budget of repeats asks for.
-  const double doubled =
-      seconds(o.first_pause) * std::pow(2.0, std::min(item.tried + item.turned_away, 20U) - 1.0);
-  Duration pause =
-      from_seconds(std::min(doubled, seconds(o.longest_pause)) * (0.5 + impl_->random.unit() / 2));
-  pause = std::max(pause, std::min(retry_after, o.longest_rest));
-  s.repeats.fill(now);
-  s.repeats.tokens -= 1;  // below nothing: those behind it wait in turn
-  if (s.repeats.tokens < 0)
-    pause = std::max(pause, from_seconds(-s.repeats.tokens / std::max(o.repeats_per_s, 1e-3)));
-  s.repeats.tokens = std::max(s.repeats.tokens, -4 * o.most_repeats);
-  ++impl_->repeated;
-  item.place = Impl::Place::kPause;
-  item.in_pause = s.pauses.emplace(now + pause, id);
-  return {Verdict::Kind::kAgain, why, {}};
+  // Exponential backoff with jitter, extended if the retry budget is exhausted.
+  const double exponential_s =
+      seconds(o.initial_backoff) * std::pow(2.0, std::min(item.failures + item.busy_answers, 20U) - 1.0);
+  Duration backoff =
+      from_seconds(std::min(exponential_s, seconds(o.max_backoff)) * (0.5 + impl_->random.unit() / 2));
+  backoff = std::max(backoff, std::min(retry_after, o.max_cooldown));
+  s.retries.fill(now);
+  s.retries.tokens -= 1;  // may go negative: later retries wait in turn
+  if (s.retries.tokens < 0)
+    backoff = std::max(backoff, from_seconds(-s.retries.tokens / std::max(o.retry_tokens_per_s, 1e-3)));
+  s.retries.tokens = std::max(s.retries.tokens, -4 * o.max_retry_tokens);
+  ++impl_->retry_count;
+  item.stage = Impl::Stage::kBackoff;
+  item.backoff_position = s.backoffs.emplace(now + backoff, id);
+  return {AttemptVerdict::Kind::kRetry, why, {}};
 }
 
-std::optional<Time> Scheduler::wake(Time now) const {
+std::optional<Time> Scheduler::next_wakeup(Time now) const {
   std::optional<Time> first;
   auto at = [&](Time t) {
     if (!first || t < *first) first = t;
   };
   for (const auto& [number, s] : impl_->stores) {
     bool waits = false;
-    for (const Impl::Lane& l : s.lanes) {
+    for (const Impl::LevelQueue& l : s.levels) {
       waits |= !l.by_age.empty();
       if (!l.by_age.empty() && l.bytes.per_s > 0 && l.bytes.tokens <= 0)
         at(now + from_seconds((1 - l.bytes.tokens) / l.bytes.per_s));
     }
-    if (!s.pauses.empty()) at(std::max(s.pauses.begin()->first, s.rest_until));
-    if (waits && s.rest_until > now) at(s.rest_until);
+    if (!s.backoffs.empty()) at(std::max(s.backoffs.begin()->first, s.cooldown_until));
+    if (waits && s.cooldown_until > now) at(s.cooldown_until);
     if (s.replicas.size() > 1 && !s.hedgeable.empty() && s.hedges.tokens >= 1)
-      at(std::max(now + std::chrono::milliseconds(1), s.hedgeable.begin()->first + impl_->hedge_wait(s)));
+      at(std::max(now + std::chrono::milliseconds(1), s.hedgeable.begin()->first + impl_->hedge_delay(s)));
   }
   return first;
 }
 
 StoreState Scheduler::state(Time now, std::uint32_t store) const {
-  StoreState out;
+  StoreState result;
   const auto it = impl_->stores.find(store);
-  if (it == impl_->stores.end()) return out;
+  if (it == impl_->stores.end()) return result;
   const Impl::Store& s = it->second;
-  out.window = s.window, out.running = s.running, out.usual_s = s.usual_s;
-  out.repeats_left = std::max(0.0, s.repeats.tokens);
-  for (std::size_t l = 0; l < kLevels; ++l) out.waiting += out.waiting_at[l] = s.lanes[l].by_age.size();
-  out.waiting += s.pauses.size();
-  out.resting = s.rest_until > now;
-  return out;
+  result.window = s.window, result.running = s.running, result.baseline_s = s.baseline_s;
+  result.retry_tokens = std::max(0.0, s.retries.tokens);
+  for (std::size_t l = 0; l < kLevels; ++l)
+    result.waiting += result.waiting_at[l] = s.levels[l].by_age.size();
+  result.waiting += s.backoffs.size();
+  result.cooling_down = s.cooldown_until > now;
+  return result;
 }
 
 std::size_t Scheduler::size() const { return impl_->items.size(); }
-std::uint64_t Scheduler::repeats() const { return impl_->repeated; }
+std::uint64_t Scheduler::retries() const { return impl_->retry_count; }
 std::uint64_t Scheduler::hedges() const { return impl_->hedged; }
 
 }  // namespace laureltide::layers
--- a/tests/check/layers_test.cpp
+++ b/tests/check/layers_test.cpp
@@ -1,4 +1,4 @@
-// The judge of layers, on tapes written by hand: what keeps, and each way to break.
+// Tests of the layers checker with hand-written recordings: a valid one and each kind of violation.
 #include "check/layers.h"
 
 #include <gtest/gtest.h>
@@ -19,15 +19,15 @@
 }
 
 struct Layers : testing::Test {
-  std::vector<json> tape{release("f", 1, "v1", "b1", "l1"), release("f", 2, "v2", "b2", "l2"),
-                         release("g", 1, "w1", "c1", "m1")};
+  std::vector<json> recording{release("f", 1, "v1", "b1", "l1"), release("f", 2, "v2", "b2", "l2"),
+                              release("g", 1, "w1", "c1", "m1")};
   LayersVerdict with(std::vector<json> more) {
-    more.insert(more.begin(), tape.begin(), tape.end());
+    more.insert(more.begin(), recording.begin(), recording.end());
     return judge_layers(more);
   }
 };
 
-TEST_F(Layers, WhatIsKept) {
+TEST_F(Layers, AcceptsValidRecording) {
   const auto v =
       with({sent("box-1", "b1 0-10"), sent("box-1", "b1 10-20"), sent("box-2", "b1 0-10"),
             sent("box-1", "b2 0-10"), sent("box-1", "index 0-10"), sent("box-1", "index 0-10"),
@@ -40,17 +40,17 @@
   EXPECT_EQ(v.renewed, 1U);
 }
 
-TEST_F(Layers, BytesSentTwiceToABox) {
+TEST_F(Layers, ReportsBytesSentTwiceToOneHost) {
   EXPECT_EQ(with({sent("box-1", "b1 0-10"), sent("box-1", "b1 0-10")}).duplicate_sends.size(), 1U);
   EXPECT_EQ(with({sent("box-1", "b1 0-10"), sent("box-1", "b1 9-20")}).duplicate_sends.size(), 1U);
   EXPECT_EQ(with({sent("box-1", "b1 10-20"), sent("box-1", "b1 0-11")}).duplicate_sends.size(), 1U);
   EXPECT_EQ(with({sent("box-1", "b1 10-12"), sent("box-1", "b1 0-20")}).duplicate_sends.size(), 1U);
 }
 
-TEST_F(Layers, ARunOnAnythingElse) {
+TEST_F(Layers, ReportsRunsOnWrongVersions) {
   EXPECT_EQ(with({ran("f", "v3", "l1")}).wrong_versions.size(), 1U);  // never released
-  EXPECT_EQ(with({ran("f", "v1", "l2")}).wrong_versions.size(), 1U);  // the bytes of another
-  EXPECT_EQ(with({ran("f", "w1", "m1")}).wrong_versions.size(), 1U);  // another function's
+  EXPECT_EQ(with({ran("f", "v1", "l2")}).wrong_versions.size(), 1U);  // layers of another release
+  EXPECT_EQ(with({ran("f", "w1", "m1")}).wrong_versions.size(), 1U);  // a version of another function
   json none = ran("f", "v1", "l1");
   none.erase("version");
   EXPECT_EQ(with({none}).wrong_versions.size(), 1U);
--- a/tests/layers/agent_test.cpp
+++ b/tests/layers/agent_test.cpp
@@ -1,4 +1,5 @@
-// The box agent against the stand-in store in virtual time: each hard case of docs/layers.md, caused.
+// Tests of the layer agent against the simulated registry in virtual time, for the failure cases of
+// docs/layers.md.
 #include "layers/agent.h"
 
 #include <gtest/gtest.h>
@@ -17,15 +18,15 @@
 using standin::Registry;
 using Fault = Registry::Fault;
 
-std::string noise(std::size_t n, std::uint64_t seed) {
+std::string random_bytes(std::size_t n, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::string out(n, '\0');
   for (char& c : out) c = static_cast<char>(random() & 0x3f);
   return out;
 }
 
-// A store with published functions, and a box beside it.
-struct Box : testing::Test {
+// A registry with published functions, and a host with one agent.
+struct AgentTest : testing::Test {
   static constexpr std::size_t kSize = 200'000;
   sim::Network net;
   standin::NoTape tape;
@@ -35,19 +36,19 @@
   std::unique_ptr<MemoryDisk> disk;
   std::unique_ptr<RegistryClient> remote;
   std::unique_ptr<Agent> agent;
-  std::vector<std::string> said;
+  std::vector<std::string> log_lines;
   std::uint64_t release = 0;
-  std::map<std::string, std::string> plain;  // version to its layer's bytes
+  std::map<std::string, std::string> plain;  // version to its layer's plain bytes
 
   static standin::RegistryOptions registry_options() {
     standin::RegistryOptions o;
     o.bytes_per_s = 20e6, o.latency = 1ms;
     return o;
   }
-  Box() {
+  AgentTest() {
     store.listen({"10.0.0.1", 5000});
     options.capacity = 4U << 20;
-    options.scheduler.first_pause = 10ms;
+    options.scheduler.initial_backoff = 10ms;
   }
   void start(const char* name = "box-1") {
     disk = std::make_unique<MemoryDisk>(net, files);
@@ -55,10 +56,10 @@
     o.replicas.push_back({"10.0.0.1", 5000});
     for (std::uint32_t r = 1; r < options.replicas; ++r)
       o.replicas.push_back({"10.0.0.1", static_cast<std::uint16_t>(5000 + r)});
-    o.name = name, o.within = 2s;
+    o.name = name, o.timeout = 2s;
     remote = std::make_unique<RegistryClient>(net, o);
     agent = std::make_unique<Agent>(net, *disk, *remote, options,
-                                    [this](bool, const std::string& line) { said.push_back(line); });
+                                    [this](bool, const std::string& line) { log_lines.push_back(line); });
   }
   void stop() { agent.reset(), remote.reset(), disk.reset(); }
 
@@ -82,24 +83,25 @@
     plain[p.version.text()] = bytes;
     return p;
   }
-  // A pin as a worker gets it, and the bytes it would load.
-  struct Got {
-    bool over = false;
+  // Result of a snapshot request.
+  struct Result {
+    bool done = false;
     std::optional<Snapshot> snapshot;
-    NoSnapshot no;
+    SnapshotError error;
     std::uint64_t ticket = 0;
   };
-  std::shared_ptr<Got> ask(const std::string& function, Level level = Level::kCall,
-                           const std::string& worker = "w1", std::optional<Digest> version = {}) {
-    auto got = std::make_shared<Got>();
-    got->ticket = agent->ask({worker, "life-1", function, version, level},
-                             [got](std::optional<Snapshot> s, const NoSnapshot& no) {
-                               got->over = true, got->snapshot = std::move(s), got->no = no;
-                             });
-    return got;
+  std::shared_ptr<Result> request(const std::string& function, Level level = Level::kCall,
+                                  const std::string& worker = "w1", std::optional<Digest> version = {}) {
+    auto result = std::make_shared<Result>();
+    result->ticket = agent->request_snapshot({worker, "life-1", function, version, level},
+                                             [result](std::optional<Snapshot> s, const SnapshotError& error) {
+                                               result->done = true, result->snapshot = std::move(s),
+                                               result->error = error;
+                                             });
+    return result;
   }
-  bool run(const std::shared_ptr<Got>& got, Duration most = 60s) {
-    return net.run_until([&] { return got->over; }, most) && got->snapshot.has_value();
+  bool run(const std::shared_ptr<Result>& result, Duration limit = 60s) {
+    return net.run_until([&] { return result->done; }, limit) && result->snapshot.has_value();
   }
   std::string read(const Snapshot& s) const {
     std::string all;
@@ -112,13 +114,13 @@
       }
     return all;
   }
-  void expect_whole(const Snapshot& s) const {
+  void expect_complete(const Snapshot& s) const {
     const std::string bytes = read(s);
     EXPECT_EQ(digest_of(bytes), s.layers[0].content);
     EXPECT_EQ(bytes, plain.at(s.version.text()));
   }
-  // The store's own count: nothing was sent twice to this box.
-  void expect_once() const {
+  // Checks by the registry's counters that no range was sent twice to this host.
+  void expect_no_duplicate_sends() const {
     for (const auto& [range, times] : store.ranges())
       if (range.find('-', range.find(' ')) != std::string::npos && range.find(" 0-") == std::string::npos) {
         EXPECT_EQ(times, 1) << range;
@@ -126,55 +128,55 @@
   }
 };
 
-TEST_F(Box, AWorkerGetsAWholeVersion) {
-  const auto p = publish("decoder", noise(kSize, 1));
+TEST_F(AgentTest, ReturnsCompleteVersion) {
+  const auto p = publish("decoder", random_bytes(kSize, 1));
   start();
-  const auto got = ask("decoder");
-  ASSERT_TRUE(run(got)) << got->no.why;
-  EXPECT_EQ(got->snapshot->version, p.version);
-  expect_whole(*got->snapshot);
+  const auto result = request("decoder");
+  ASSERT_TRUE(run(result)) << result->error.why;
+  EXPECT_EQ(result->snapshot->version, p.version);
+  expect_complete(*result->snapshot);
   EXPECT_EQ(agent->counters().chunk_fetches, p.packed.index.chunks.size());
-  EXPECT_TRUE(agent->shelf().consistent());
+  EXPECT_TRUE(agent->cache().consistent());
 }
 
-TEST_F(Box, SixtyFourWorkersAtOnceAreOneFetchOfEachChunk) {
-  publish("decoder", noise(kSize, 1));
+TEST_F(AgentTest, FetchesEachChunkOnceFor64ConcurrentWorkers) {
+  publish("decoder", random_bytes(kSize, 1));
   start();
-  std::vector<std::shared_ptr<Got>> all;
-  for (int i = 0; i < 64; ++i) all.push_back(ask("decoder", Level::kCall, "w" + std::to_string(i)));
-  for (const auto& got : all) {
-    ASSERT_TRUE(run(got)) << got->no.why;
-    expect_whole(*got->snapshot);
+  std::vector<std::shared_ptr<Result>> all;
+  for (int i = 0; i < 64; ++i) all.push_back(request("decoder", Level::kCall, "w" + std::to_string(i)));
+  for (const auto& result : all) {
+    ASSERT_TRUE(run(result)) << result->error.why;
+    expect_complete(*result->snapshot);
   }
-  expect_once();
+  expect_no_duplicate_sends();
   EXPECT_EQ(agent->pins(), 64U);
 }
 
-// Through the API, with a client of each worker.
-TEST_F(Box, TheApiGivesTheSameAndALeaseThatRunsOutLetsGo) {
-  publish("decoder", noise(kSize, 1));
+// Uses the HTTP API, with one client per worker.
+TEST_F(AgentTest, ApiReturnsSnapshotsAndExpiredLeaseReleasesPins) {
+  publish("decoder", random_bytes(kSize, 1));
   start();
   AgentServer server(net, *agent);
   ASSERT_TRUE(server.listen({"10.0.0.2", 7800}));
   std::vector<std::unique_ptr<AgentClient>> clients;
   int pinned = 0;
-  std::vector<ReleaseStatus> news;
+  std::vector<ReleaseStatus> releases;
   for (int i = 0; i < 8; ++i) {
     clients.push_back(
         std::make_unique<AgentClient>(net, io::Address{"10.0.0.2", 7800}, "w" + std::to_string(i), "1"));
     clients.back()->pin("decoder", {}, Level::kHold, 30s,
                         [&](std::optional<Snapshot> s, const std::string& why) {
                           ASSERT_TRUE(s) << why;
-                          expect_whole(*s);
+                          expect_complete(*s);
                           ++pinned;
                         });
   }
-  clients[0]->watch_releases([&](const std::vector<ReleaseStatus>& all) { news = all; });
+  clients[0]->watch_releases([&](const std::vector<ReleaseStatus>& all) { releases = all; });
   ASSERT_TRUE(net.run_until([&] { return pinned == 8; }));
-  ASSERT_TRUE(net.run_until([&] { return news.size() == 1 && news[0].whole; }));
+  ASSERT_TRUE(net.run_until([&] { return releases.size() == 1 && releases[0].whole; }));
   net.run_for(60s);
-  EXPECT_EQ(agent->pins(), 8U);                       // kept up by the clients
-  clients.erase(clients.begin() + 1, clients.end());  // seven workers die holding theirs
+  EXPECT_EQ(agent->pins(), 8U);                       // the clients renew their leases
+  clients.erase(clients.begin() + 1, clients.end());  // seven workers crash with a pin
   net.run_for(options.lease + 3s);
   EXPECT_EQ(agent->pins(), 1U);
   std::string refused;
@@ -187,303 +189,304 @@
   EXPECT_NE(refused.find("the store does not have it"), std::string::npos) << refused;
 }
 
-TEST_F(Box, ANewLifeOfAWorkerEndsThePinsOfTheOld) {
-  publish("decoder", noise(kSize, 1));
+TEST_F(AgentTest, NewIncarnationReleasesPinsOfPreviousOne) {
+  publish("decoder", random_bytes(kSize, 1));
   start();
-  ASSERT_TRUE(run(ask("decoder")));
+  ASSERT_TRUE(run(request("decoder")));
   agent->renew("w1", "life-2");
   EXPECT_EQ(agent->pins(), 0U);
 }
 
-TEST_F(Box, ACorruptChunkIsFetchedAgain) {
-  const auto p = publish("decoder", noise(kSize, 1));
+TEST_F(AgentTest, RefetchesCorruptChunk) {
+  const auto p = publish("decoder", random_bytes(kSize, 1));
   store.add({Fault::Kind::kCorrupt, 1, digest_of(p.packed.blob).text(), 0, 0, ""});
   start();
-  const auto got = ask("decoder");
-  ASSERT_TRUE(run(got)) << got->no.why;
-  expect_whole(*got->snapshot);
+  const auto result = request("decoder");
+  ASSERT_TRUE(run(result)) << result->error.why;
+  expect_complete(*result->snapshot);
   EXPECT_EQ(agent->counters().corrupt, 1U);
 }
 
-TEST_F(Box, AlwaysCorruptIsSaidAndNothingOfItIsKept) {
-  const auto p = publish("decoder", noise(kSize, 1));
+TEST_F(AgentTest, ReportsPermanentCorruptionAndStoresNothing) {
+  const auto p = publish("decoder", random_bytes(kSize, 1));
   store.add({Fault::Kind::kCorrupt, -1, digest_of(p.packed.blob).text(), 0, 0, ""});
   start();
-  const auto got = ask("decoder");
-  EXPECT_FALSE(run(got, 300s));
-  EXPECT_TRUE(got->over);
-  EXPECT_EQ(got->no.kind, NoSnapshot::Kind::kStore);
-  EXPECT_NE(got->no.why.find("other bytes than the digest names"), std::string::npos) << got->no.why;
+  const auto result = request("decoder");
+  EXPECT_FALSE(run(result, 300s));
+  EXPECT_TRUE(result->done);
+  EXPECT_EQ(result->error.kind, SnapshotError::Kind::kStoreFailed);
+  EXPECT_NE(result->error.why.find("other bytes than the digest names"), std::string::npos)
+      << result->error.why;
   EXPECT_TRUE(files.files.empty());
   store.clear_faults();
-  ASSERT_TRUE(run(ask("decoder")));  // and the next one asks anew
+  ASSERT_TRUE(run(request("decoder")));  // the next request fetches again
 }
 
-TEST_F(Box, ACorruptReplicaIsPassedBy) {
+TEST_F(AgentTest, AvoidsCorruptReplica) {
   Registry second(net, registry_options(), tape);
   ASSERT_TRUE(second.listen({"10.0.0.1", 5001}));
-  const auto p = publish("decoder", noise(kSize, 1));
+  const auto p = publish("decoder", random_bytes(kSize, 1));
   --release;
-  publish("decoder", noise(kSize, 1), &second);
+  publish("decoder", random_bytes(kSize, 1), &second);
   second.add({Fault::Kind::kCorrupt, -1, digest_of(p.packed.blob).text(), 0, 0, ""});
   options.replicas = 2;
   start();
-  const auto got = ask("decoder");
-  ASSERT_TRUE(run(got)) << got->no.why;
-  expect_whole(*got->snapshot);
-  EXPECT_LE(agent->counters().corrupt, 4U);  // those that were out at once; then it rests
+  const auto result = request("decoder");
+  ASSERT_TRUE(run(result)) << result->error.why;
+  expect_complete(*result->snapshot);
+  EXPECT_LE(agent->counters().corrupt, 4U);  // the concurrent fetches; after that the replica is avoided
 }
 
-struct Answers : Box, testing::WithParamInterface<Fault::Kind> {};
+struct FaultyResponses : AgentTest, testing::WithParamInterface<Fault::Kind> {};
 
-TEST_P(Answers, BrokenOnceAreAskedForAgain) {
-  const auto p = publish("decoder", noise(kSize, 1));
+TEST_P(FaultyResponses, RetriesFailedResponse) {
+  const auto p = publish("decoder", random_bytes(kSize, 1));
   Fault fault{GetParam(), 2, "", 503, 0, ""};
   if (GetParam() != Fault::Kind::kWholeBody && GetParam() != Fault::Kind::kOtherRange)
     fault.digest = digest_of(p.packed.blob).text();
   store.add(fault);
   start();
-  const auto got = ask("decoder");
-  ASSERT_TRUE(run(got)) << got->no.why;
-  expect_whole(*got->snapshot);
-  EXPECT_GE(agent->scheduler().repeats(), 2U);
-  EXPECT_EQ(agent->counters().corrupt, 0U);  // known for what it is, not for other bytes
+  const auto result = request("decoder");
+  ASSERT_TRUE(run(result)) << result->error.why;
+  expect_complete(*result->snapshot);
+  EXPECT_GE(agent->scheduler().retries(), 2U);
+  EXPECT_EQ(agent->counters().corrupt, 0U);  // counted as failed, not as corrupt
 }
-INSTANTIATE_TEST_SUITE_P(Layers, Answers,
+INSTANTIATE_TEST_SUITE_P(Layers, FaultyResponses,
                          testing::Values(Fault::Kind::kShort, Fault::Kind::kReset, Fault::Kind::kEndless,
                                          Fault::Kind::kStatus, Fault::Kind::kWholeBody,
                                          Fault::Kind::kOtherRange));
 
-TEST_F(Box, ARedirectIsFollowedAndALoopOfThemIsNot) {
+TEST_F(AgentTest, FollowsRedirectButNotRedirectLoop) {
   Registry elsewhere(net, registry_options(), tape);
   ASSERT_TRUE(elsewhere.listen({"10.0.0.1", 5009}));
-  publish("decoder", noise(kSize, 1), &elsewhere);
+  publish("decoder", random_bytes(kSize, 1), &elsewhere);
   --release;
-  const auto p = publish("decoder", noise(kSize, 1));
+  const auto p = publish("decoder", random_bytes(kSize, 1));
   store.add({Fault::Kind::kRedirect, -1, digest_of(p.packed.blob).text(), 0, 0, "http://10.0.0.1:5009"});
   start();
-  const auto got = ask("decoder");
-  ASSERT_TRUE(run(got)) << got->no.why;
-  expect_whole(*got->snapshot);
+  const auto result = request("decoder");
+  ASSERT_TRUE(run(result)) << result->error.why;
+  expect_complete(*result->snapshot);
   stop();
   files = {};
   store.clear_faults();
   store.add({Fault::Kind::kRedirect, -1, digest_of(p.packed.blob).text(), 0, 0, "http://10.0.0.1:5000"});
   start();
-  const auto round = ask("decoder");
+  const auto round = request("decoder");
   EXPECT_FALSE(run(round, 300s));
-  EXPECT_TRUE(round->over);
-  EXPECT_EQ(round->no.kind, NoSnapshot::Kind::kStore);
+  EXPECT_TRUE(round->done);
+  EXPECT_EQ(round->error.kind, SnapshotError::Kind::kStoreFailed);
 }
 
-TEST_F(Box, AMissingChunkIsSaidAndTheOldVersionStays) {
-  const auto first = publish("decoder", noise(kSize, 1));
+TEST_F(AgentTest, ReportsMissingChunkAndKeepsCurrentVersion) {
+  const auto first = publish("decoder", random_bytes(kSize, 1));
   start();
-  ASSERT_TRUE(run(ask("decoder")));
-  const auto second = publish("decoder", noise(kSize, 2));
+  ASSERT_TRUE(run(request("decoder")));
+  const auto second = publish("decoder", random_bytes(kSize, 2));
   store.drop_blob(digest_of(second.packed.blob).text());
-  agent->look("decoder");
+  agent->poll_tag("decoder");
   net.run_for(20s);
-  const auto got = ask("decoder", Level::kCall, "w2");
-  ASSERT_TRUE(run(got));
-  EXPECT_EQ(got->snapshot->version, first.version);
-  ASSERT_FALSE(agent->waiting(10).empty());
-  EXPECT_NE(agent->waiting(10)[0].find("the store does not have it"), std::string::npos)
-      << agent->waiting(10)[0];
+  const auto result = request("decoder", Level::kCall, "w2");
+  ASSERT_TRUE(run(result));
+  EXPECT_EQ(result->snapshot->version, first.version);
+  ASSERT_FALSE(agent->describe_waiting(10).empty());
+  EXPECT_NE(agent->describe_waiting(10)[0].find("the store does not have it"), std::string::npos)
+      << agent->describe_waiting(10)[0];
 }
 
-TEST_F(Box, AReleaseThatLandsWhileTheOldIsHalfFetched) {
-  const std::string shared = noise(kSize, 1);
+TEST_F(AgentTest, HandlesReleaseDuringFetchOfPreviousOne) {
+  const std::string shared = random_bytes(kSize, 1);
   const auto first = publish("decoder", shared);
   start();
-  const auto early = ask("decoder");
-  ASSERT_TRUE(net.run_until([&] { return agent->shelf().chunks() >= 3; }));
-  ASSERT_FALSE(early->over);
-  const auto second = publish("decoder", shared.substr(0, kSize / 2) + noise(kSize / 2, 3));
-  agent->look("decoder");
-  // Who asked for the first gets the first, whole; who comes later gets whichever is whole, whole.
+  const auto early = request("decoder");
+  ASSERT_TRUE(net.run_until([&] { return agent->cache().chunks() >= 3; }));
+  ASSERT_FALSE(early->done);
+  const auto second = publish("decoder", shared.substr(0, kSize / 2) + random_bytes(kSize / 2, 3));
+  agent->poll_tag("decoder");
+  // The waiting request gets the first release; later requests get the newest complete release.
   ASSERT_TRUE(run(early));
   EXPECT_EQ(early->snapshot->version, first.version);
-  expect_whole(*early->snapshot);
+  expect_complete(*early->snapshot);
   ASSERT_TRUE(net.run_until([&] {
     const auto r = agent->releases();
     return r.size() == 1 && r[0].version == second.version && r[0].whole;
   }));
-  const auto late = ask("decoder", Level::kCall, "w2");
+  const auto late = request("decoder", Level::kCall, "w2");
   ASSERT_TRUE(run(late));
   EXPECT_EQ(late->snapshot->version, second.version);
-  expect_whole(*late->snapshot);
-  expect_whole(*early->snapshot);  // pinned: still there
-  expect_once();                   // what both hold was fetched once
+  expect_complete(*late->snapshot);
+  expect_complete(*early->snapshot);  // pinned, so still on disk
+  expect_no_duplicate_sends();        // shared chunks were fetched once
 }
 
-TEST_F(Box, OfTwoReleasesWithinASecondTheFirstIsCalledOff) {
-  publish("decoder", noise(kSize, 1));
+TEST_F(AgentTest, CancelsSupersededRelease) {
+  publish("decoder", random_bytes(kSize, 1));
   start();
-  ASSERT_TRUE(run(ask("decoder")));
-  publish("decoder", noise(8 * kSize, 2));
-  agent->look("decoder");
-  ASSERT_TRUE(net.run_until([&] { return agent->shelf().chunks() > 20; }));
-  const auto third = publish("decoder", noise(kSize, 3));
-  agent->look("decoder");
+  ASSERT_TRUE(run(request("decoder")));
+  publish("decoder", random_bytes(8 * kSize, 2));
+  agent->poll_tag("decoder");
+  ASSERT_TRUE(net.run_until([&] { return agent->cache().chunks() > 20; }));
+  const auto third = publish("decoder", random_bytes(kSize, 3));
+  agent->poll_tag("decoder");
   ASSERT_TRUE(net.run_until([&] {
     const auto r = agent->releases();
     return r.size() == 1 && r[0].version == third.version;
   }));
-  EXPECT_GT(agent->counters().called_off, 0U);
-  EXPECT_LT(agent->counters().fetched_bytes, 6 * kSize);  // far from all of the second
+  EXPECT_GT(agent->counters().cancelled, 0U);
+  EXPECT_LT(agent->counters().fetched_bytes, 6 * kSize);  // most of the second release was not fetched
 }
 
-TEST_F(Box, AReplicaThatLagsDoesNotBringAnOldReleaseBack) {
-  const auto first = publish("decoder", noise(kSize, 1));
-  const auto second = publish("decoder", noise(kSize, 2));
+TEST_F(AgentTest, IgnoresOldReleaseOfLaggingReplica) {
+  const auto first = publish("decoder", random_bytes(kSize, 1));
+  const auto second = publish("decoder", random_bytes(kSize, 2));
   start();
-  ASSERT_TRUE(run(ask("decoder")));
-  Manifest old;  // the tag as it was
+  ASSERT_TRUE(run(request("decoder")));
+  Manifest old;  // unused
   release = 0;
-  publish("decoder", noise(kSize, 1));
-  agent->look("decoder");
+  publish("decoder", random_bytes(kSize, 1));
+  agent->poll_tag("decoder");
   net.run_for(10s);
-  const auto got = ask("decoder", Level::kCall, "w2");
-  ASSERT_TRUE(run(got));
-  EXPECT_EQ(got->snapshot->version, second.version);
+  const auto result = request("decoder", Level::kCall, "w2");
+  ASSERT_TRUE(run(result));
+  EXPECT_EQ(result->snapshot->version, second.version);
   static_cast<void>(first);
 }
 
-TEST_F(Box, ARollbackToAVersionHalfEvictedFetchesTheOtherHalf) {
-  const std::string old = noise(kSize, 1);
+TEST_F(AgentTest, RollbackFetchesOnlyEvictedChunks) {
+  const std::string old = random_bytes(kSize, 1);
   publish("decoder", old);
   options.capacity = kSize * 3 / 2;
   start();
-  const auto one = ask("decoder");
+  const auto one = request("decoder");
   ASSERT_TRUE(run(one));
   agent->unpin(one->snapshot->pin);
-  publish("decoder", noise(kSize, 2));
-  agent->look("decoder");
+  publish("decoder", random_bytes(kSize, 2));
+  agent->poll_tag("decoder");
   ASSERT_TRUE(
       net.run_until([&] { return agent->releases().size() == 1 && agent->releases()[0].release == 2; }));
-  EXPECT_GT(agent->shelf().evicted(), 0U);
+  EXPECT_GT(agent->cache().evicted(), 0U);
   const std::uint64_t before = agent->counters().chunk_fetches;
   const auto back = publish("decoder", old);
-  agent->look("decoder");
+  agent->poll_tag("decoder");
   ASSERT_TRUE(
       net.run_until([&] { return agent->releases().size() == 1 && agent->releases()[0].release == 3; }));
-  const auto got = ask("decoder");
-  ASSERT_TRUE(run(got));
-  expect_whole(*got->snapshot);
+  const auto result = request("decoder");
+  ASSERT_TRUE(run(result));
+  expect_complete(*result->snapshot);
   const std::uint64_t fetched = agent->counters().chunk_fetches - before;
   EXPECT_GT(fetched, 0U);
   EXPECT_LT(fetched, back.packed.index.chunks.size());
-  EXPECT_LE(agent->shelf().bytes(), options.capacity);
+  EXPECT_LE(agent->cache().bytes(), options.capacity);
   EXPECT_LE(files.used(), options.capacity);
 }
 
-TEST_F(Box, WhatIsPinnedIsNeverEvictedForMore) {
-  publish("a", noise(kSize, 1)), publish("b", noise(kSize, 2));
+TEST_F(AgentTest, NeverEvictsPinnedChunks) {
+  publish("a", random_bytes(kSize, 1)), publish("b", random_bytes(kSize, 2));
   options.capacity = kSize * 3 / 2;
   start();
-  const auto a = ask("a");
+  const auto a = request("a");
   ASSERT_TRUE(run(a));
   const std::uint64_t before = agent->counters().fetched_bytes;
-  const auto b = ask("b", Level::kCall, "w2");
+  const auto b = request("b", Level::kCall, "w2");
   EXPECT_FALSE(run(b));
-  EXPECT_LT(agent->counters().fetched_bytes - before, 20'000U);  // said before half of it was fetched
-  EXPECT_EQ(b->no.kind, NoSnapshot::Kind::kRoom);
-  expect_whole(*a->snapshot);
+  EXPECT_LT(agent->counters().fetched_bytes - before, 20'000U);  // rejected before the download
+  EXPECT_EQ(b->error.kind, SnapshotError::Kind::kNoSpace);
+  expect_complete(*a->snapshot);
   agent->unpin(a->snapshot->pin);
-  ASSERT_TRUE(run(ask("b", Level::kCall, "w2")));
+  ASSERT_TRUE(run(request("b", Level::kCall, "w2")));
   EXPECT_LE(files.used(), options.capacity);
 }
 
-TEST_F(Box, AFullDiskInMidLayerIsSaidAndMendsItself) {
-  publish("decoder", noise(kSize, 1));
-  files.room = kSize / 2;
-  start();
-  const auto got = ask("decoder");
-  EXPECT_FALSE(run(got));
-  EXPECT_EQ(got->no.kind, NoSnapshot::Kind::kRoom);
-  EXPECT_NE(got->no.why.find("no space left"), std::string::npos) << got->no.why;
-  EXPECT_TRUE(agent->shelf().consistent());
-  files.room = UINT64_MAX;
-  const auto again = ask("decoder");
+TEST_F(AgentTest, ReportsFullDiskAndRecovers) {
+  publish("decoder", random_bytes(kSize, 1));
+  files.capacity = kSize / 2;
+  start();
+  const auto result = request("decoder");
+  EXPECT_FALSE(run(result));
+  EXPECT_EQ(result->error.kind, SnapshotError::Kind::kNoSpace);
+  EXPECT_NE(result->error.why.find("no space left"), std::string::npos) << result->error.why;
+  EXPECT_TRUE(agent->cache().consistent());
+  files.capacity = UINT64_MAX;
+  const auto again = request("decoder");
   ASSERT_TRUE(run(again));
-  expect_whole(*again->snapshot);
+  expect_complete(*again->snapshot);
 }
 
-TEST_F(Box, AStoreThatTurnsAwayIsAskedLessAndServesInTheEnd) {
-  publish("decoder", noise(8 * kSize, 1));
+TEST_F(AgentTest, CompletesAfterStoreOverload) {
+  publish("decoder", random_bytes(8 * kSize, 1));
   store.add({Fault::Kind::kStatus, 12, "", 429, 1, ""});
   start();
-  const auto got = ask("decoder");
-  ASSERT_TRUE(run(got, 300s)) << got->no.why;
-  expect_whole(*got->snapshot);
+  const auto result = request("decoder");
+  ASSERT_TRUE(run(result, 300s)) << result->error.why;
+  expect_complete(*result->snapshot);
 }
 
-TEST_F(Box, AStoreEightTimesSlowerHasFewerFetchesAtOnce) {
-  publish("decoder", noise(2 * kSize, 1)), publish("other", noise(12 * kSize, 2));
+TEST_F(AgentTest, ShrinksWindowForSlowStore) {
+  publish("decoder", random_bytes(2 * kSize, 1)), publish("other", random_bytes(12 * kSize, 2));
   options.capacity = 64U << 20;
   start();
-  ASSERT_TRUE(run(ask("decoder")));
+  ASSERT_TRUE(run(request("decoder")));
   const double before = agent->store().window;
   store.set_slow(8);
-  const auto got = ask("other");
-  ASSERT_TRUE(run(got, 300s)) << got->no.why;
+  const auto result = request("other");
+  ASSERT_TRUE(run(result, 300s)) << result->error.why;
   EXPECT_LT(agent->store().window, before);
 }
 
-TEST_F(Box, AReleaseDoesNotStarveTheCallsOfToday) {
+TEST_F(AgentTest, ReleaseDoesNotDelayCallsOfOtherFunctions) {
   options.capacity = 64U << 20;
-  publish("decoder", noise(kSize, 1)), publish("gate", noise(kSize, 2));
+  publish("decoder", random_bytes(kSize, 1)), publish("gate", random_bytes(kSize, 2));
   start();
-  ASSERT_TRUE(run(ask("decoder")));
-  publish("decoder", noise(40 * kSize, 3));  // 8 MB at 20 MB/s: 400 ms for all of it
-  agent->look("decoder");
+  ASSERT_TRUE(run(request("decoder")));
+  publish("decoder", random_bytes(40 * kSize, 3));  // 8 MB at 20 MB/s take 400 ms
+  agent->poll_tag("decoder");
   ASSERT_TRUE(net.run_until([&] { return agent->counters().chunk_fetches > 20; }));
   const Time from = net.now();
-  const auto got = ask("gate", Level::kCall, "w2");
-  ASSERT_TRUE(run(got));
+  const auto result = request("gate", Level::kCall, "w2");
+  ASSERT_TRUE(run(result));
   EXPECT_LT(net.now() - from, 150ms);
 }
 
-TEST_F(Box, WhatNobodyWaitsForAnyMoreIsCalledOff) {
-  const auto p = publish("decoder", noise(8 * kSize, 3));
+TEST_F(AgentTest, CancelsFetchesWithoutWaitingRequest) {
+  const auto p = publish("decoder", random_bytes(8 * kSize, 3));
   options.tag_poll_interval = 1h;
   start();
-  const auto asked = ask("decoder", Level::kCall, "w1", p.version);
-  ASSERT_TRUE(net.run_until([&] { return agent->shelf().chunks() > 3; }));
-  agent->call_off(asked->ticket);
-  EXPECT_GT(agent->counters().called_off, 0U);
+  const auto asked = request("decoder", Level::kCall, "w1", p.version);
+  ASSERT_TRUE(net.run_until([&] { return agent->cache().chunks() > 3; }));
+  agent->cancel(asked->ticket);
+  EXPECT_GT(agent->counters().cancelled, 0U);
   const std::uint64_t sent = store.sent_bytes();
   net.run_for(5s);
-  EXPECT_LT(store.sent_bytes() - sent, 300'000U);  // at most what was on its way
+  EXPECT_LT(store.sent_bytes() - sent, 300'000U);  // at most the bytes in flight
   EXPECT_EQ(agent->scheduler().size(), 0U);
 }
 
-TEST_F(Box, DomainsShareNothing) {
-  const std::string same = noise(kSize, 1);
+TEST_F(AgentTest, DomainsDoNotShareChunks) {
+  const std::string same = random_bytes(kSize, 1);
   publish("line-a/decoder", same), publish("line-b/decoder", same);
   start();
-  ASSERT_TRUE(run(ask("line-a/decoder")));
+  ASSERT_TRUE(run(request("line-a/decoder")));
   const std::uint64_t before = agent->counters().chunk_fetches;
-  ASSERT_TRUE(run(ask("line-b/decoder", Level::kCall, "w2")));
-  EXPECT_EQ(agent->counters().chunk_fetches, 2 * before);  // as if the other were not there
+  ASSERT_TRUE(run(request("line-b/decoder", Level::kCall, "w2")));
+  EXPECT_EQ(agent->counters().chunk_fetches, 2 * before);  // no chunk is shared between domains
   EXPECT_EQ(agent->counters().chunk_hits, 0U);
 }
 
-TEST_F(Box, WithinADomainFunctionsShareChunks) {
-  const std::string same = noise(kSize, 1);
+TEST_F(AgentTest, FunctionsOfOneDomainShareChunks) {
+  const std::string same = random_bytes(kSize, 1);
   publish("line-a/one", same), publish("line-a/two", same);
   start();
-  ASSERT_TRUE(run(ask("line-a/one")));
+  ASSERT_TRUE(run(request("line-a/one")));
   const std::uint64_t before = agent->counters().chunk_fetches;
-  ASSERT_TRUE(run(ask("line-a/two", Level::kCall, "w2")));
+  ASSERT_TRUE(run(request("line-a/two", Level::kCall, "w2")));
   EXPECT_EQ(agent->counters().chunk_fetches, before);
 }
 
-TEST_F(Box, AJumpOfTheWallClockChangesNothing) {
-  publish("decoder", noise(kSize, 1));
+TEST_F(AgentTest, IgnoresWallClockJumps) {
+  publish("decoder", random_bytes(kSize, 1));
   start();
-  ASSERT_TRUE(run(ask("decoder")));
+  ASSERT_TRUE(run(request("decoder")));
   net.wall_clock_offset_ms += 365LL * 86'400'000;
   net.run_for(5s);
   agent->renew("w1", "life-1");
@@ -492,85 +495,85 @@
   EXPECT_EQ(agent->pins(), 1U);
 }
 
-TEST_F(Box, ARestartFetchesNothingAgainAndBelievesNothingUnproven) {
-  publish("decoder", noise(kSize, 1));
+TEST_F(AgentTest, ReusesVerifiedChunksAfterRestart) {
+  publish("decoder", random_bytes(kSize, 1));
   start();
-  ASSERT_TRUE(run(ask("decoder")));
+  ASSERT_TRUE(run(request("decoder")));
   const std::uint64_t sent = store.sent_bytes();
   stop();
   auto broken = files.files.begin()->first;
-  files.files[broken][10] ^= 1;  // same size, other bytes: only a digest tells
+  files.files[broken][10] ^= 1;  // same size, so only the digest detects it
   start();
   EXPECT_EQ(agent->releases().size(), 1U);
   EXPECT_TRUE(agent->releases()[0].whole);
-  const auto got = ask("decoder");
-  ASSERT_TRUE(run(got)) << got->no.why;
-  expect_whole(*got->snapshot);
+  const auto result = request("decoder");
+  ASSERT_TRUE(run(result)) << result->error.why;
+  expect_complete(*result->snapshot);
   EXPECT_EQ(agent->counters().broken_on_disk, 1U);
-  EXPECT_LT(store.sent_bytes() - sent, 80'000U);  // the one chunk
+  EXPECT_LT(store.sent_bytes() - sent, 80'000U);  // only the corrupt chunk
 }
 
-TEST_F(Box, AVersionThatWasOnlyHalfHereComesBackAfterARestart) {
-  const auto first = publish("decoder", noise(kSize, 1));
+TEST_F(AgentTest, ResumesPartialVersionAfterRestart) {
+  const auto first = publish("decoder", random_bytes(kSize, 1));
   start();
-  ASSERT_TRUE(run(ask("decoder")));
-  const auto second = publish("decoder", noise(kSize, 2));
-  agent->look("decoder");
-  ASSERT_TRUE(net.run_until([&] { return agent->shelf().chunks() > 16; }));
+  ASSERT_TRUE(run(request("decoder")));
+  const auto second = publish("decoder", random_bytes(kSize, 2));
+  agent->poll_tag("decoder");
+  ASSERT_TRUE(net.run_until([&] { return agent->cache().chunks() > 16; }));
   stop();
   start();
-  const auto got = ask("decoder");  // the old one is whole
-  ASSERT_TRUE(run(got));
-  EXPECT_EQ(got->snapshot->version, first.version);
-  expect_whole(*got->snapshot);
+  const auto result = request("decoder");  // the previous release is complete
+  ASSERT_TRUE(run(result));
+  EXPECT_EQ(result->snapshot->version, first.version);
+  expect_complete(*result->snapshot);
   ASSERT_TRUE(net.run_until([&] {
     for (const ReleaseStatus& r : agent->releases())
       if (r.version == second.version && r.whole) return true;
     return false;
   }));
-  int twice = 0;  // what was on its way when the process ended
+  int twice = 0;  // chunks in flight when the process ended
   for (const auto& [range, times] : store.ranges())
     twice += times > 1 && range.find('-', range.find(' ')) != std::string::npos;
   EXPECT_LE(twice, 8);
 }
 
-TEST_F(Box, IndexAndFilesThatDisagreeAreDropped) {
-  publish("decoder", noise(kSize, 1));
+TEST_F(AgentTest, DropsMismatchedIndexEntriesAndFiles) {
+  publish("decoder", random_bytes(kSize, 1));
   start();
-  ASSERT_TRUE(run(ask("decoder")));
+  ASSERT_TRUE(run(request("decoder")));
   stop();
-  files.files.erase(files.files.begin());                // an entry without its file
-  files.index.erase(std::prev(files.index.end()));       // a file without its entry
-  std::next(files.files.begin(), 1)->second.pop_back();  // another size
+  files.files.erase(files.files.begin());                // an index entry without its file
+  files.index.erase(std::prev(files.index.end()));       // a file without its index entry
+  std::next(files.files.begin(), 1)->second.pop_back();  // a size mismatch
   start();
-  const auto got = ask("decoder");
-  ASSERT_TRUE(run(got)) << got->no.why;
-  expect_whole(*got->snapshot);
+  const auto result = request("decoder");
+  ASSERT_TRUE(run(result)) << result->error.why;
+  expect_complete(*result->snapshot);
 }
 
-TEST_F(Box, AReleaseThatLostAChunkIsMadeWholeAgainUnasked) {
-  publish("decoder", noise(kSize, 1));
+TEST_F(AgentTest, RefetchesLostChunkOfCurrentReleaseWithoutRequest) {
+  publish("decoder", random_bytes(kSize, 1));
   start();
-  ASSERT_TRUE(run(ask("decoder")));
+  ASSERT_TRUE(run(request("decoder")));
   stop();
   files.files.erase(files.files.begin());
   start();
   ASSERT_FALSE(agent->releases()[0].whole);
-  agent->look("decoder");
+  agent->poll_tag("decoder");
   EXPECT_TRUE(net.run_until([&] { return agent->releases()[0].whole; }, 30s));
 }
 
-// The process ends at each step of the disk, at several times each; whatever it left, the next life serves
-// whole versions and nothing else.
-struct Steps : Box, testing::WithParamInterface<const char*> {};
+// The process crashes at each disk step, at several occurrences; after the restart the agent serves only
+// complete versions, whatever was left on disk.
+struct DiskSteps : AgentTest, testing::WithParamInterface<const char*> {};
 
-TEST_P(Steps, AKillAtAnyOfThemLeavesNothingThatIsBelievedWrongly) {
+TEST_P(DiskSteps, ServesOnlyCompleteVersionsAfterCrash) {
   struct Killed {};
   for (const int times : {1, 2, 5}) {
     files = {};
     stop();
     release = 0;
-    publish("decoder", noise(kSize, 1));
+    publish("decoder", random_bytes(kSize, 1));
     start();
     int left = times;
     bool killed = false;
@@ -578,27 +581,27 @@
       if (std::string(step) == GetParam() && --left == 0) throw Killed();
     };
     try {
-      ask("decoder");
+      request("decoder");
       net.run_for(30s);
     } catch (const Killed&) {
       killed = true;
     }
-    if (!killed && std::string(GetParam()) == "version-recorded" && times > 1) continue;  // it happens once
+    if (!killed && std::string(GetParam()) == "version-recorded" && times > 1) continue;  // occurs only once
     ASSERT_TRUE(killed);
     stop();
     start();
-    const auto got = ask("decoder");
-    ASSERT_TRUE(run(got)) << got->no.why;
-    expect_whole(*got->snapshot);
-    EXPECT_TRUE(agent->shelf().consistent());
+    const auto result = request("decoder");
+    ASSERT_TRUE(run(result)) << result->error.why;
+    expect_complete(*result->snapshot);
+    EXPECT_TRUE(agent->cache().consistent());
     for (const auto& [key, bytes] : files.files) EXPECT_EQ(files.index.count(key), 1U);
   }
 }
-INSTANTIATE_TEST_SUITE_P(Layers, Steps, testing::ValuesIn(kDiskSteps));
+INSTANTIATE_TEST_SUITE_P(Layers, DiskSteps, testing::ValuesIn(kDiskSteps));
 
-// Boxes that share nothing do not push the store over.
-TEST_F(Box, ManyBoxesDoNotPushTheStoreOver) {
-  publish("decoder", noise(4 * kSize, 1));
+// Without coordination, 20 hosts keep the registry below overload.
+TEST_F(AgentTest, ManyHostsDoNotOverloadStore) {
+  publish("decoder", random_bytes(4 * kSize, 1));
   struct One {
     MemoryFiles files;
     std::unique_ptr<MemoryDisk> disk;
@@ -611,7 +614,7 @@
   Registry crowded(net, small, tape);
   ASSERT_TRUE(crowded.listen({"10.0.0.1", 5050}));
   --release;
-  publish("decoder", noise(4 * kSize, 1), &crowded);
+  publish("decoder", random_bytes(4 * kSize, 1), &crowded);
   std::vector<std::unique_ptr<One>> boxes;
   for (int i = 0; i < 20; ++i) {
     auto one = std::make_unique<One>();
@@ -622,9 +625,10 @@
     one->remote = std::make_unique<RegistryClient>(net, o);
     one->agent =
         std::make_unique<Agent>(net, *one->disk, *one->remote, options, [](bool, const std::string&) {});
-    one->agent->ask(
-        {"w", "1", "decoder", {}, Level::kCall},
-        [&well = one->well](const std::optional<Snapshot>& s, const NoSnapshot&) { well = s.has_value(); });
+    one->agent->request_snapshot({"w", "1", "decoder", {}, Level::kCall},
+                                 [&well = one->well](const std::optional<Snapshot>& s, const SnapshotError&) {
+                                   well = s.has_value();
+                                 });
     boxes.push_back(std::move(one));
   }
   ASSERT_TRUE(net.run_until(
--- a/tests/layers/files_test.cpp
+++ b/tests/layers/files_test.cpp
@@ -1,4 +1,4 @@
-// The disk as files: what is there after a real kill, and what a new life makes of it.
+// Tests of the file-based disk, including its state after SIGKILL and after a restart.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -17,7 +17,7 @@
 
 namespace fs = std::filesystem;
 
-std::string noise(std::size_t n, std::uint64_t seed) {
+std::string random_bytes(std::size_t n, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::string out(n, '\0');
   for (char& c : out) c = static_cast<char>(random() & 0x3f);
@@ -26,7 +26,7 @@
 
 struct Files : testing::Test {
   std::string dir;
-  PackedLayer packed = pack_layer(noise(300'000, 1), ChunkerOptions{16U << 10});
+  PackedLayer packed = pack_layer(random_bytes(300'000, 1), ChunkerOptions{16U << 10});
   Files() {
     std::string pattern = (fs::temp_directory_path() / "laureltide-layers-XXXXXX").string();
     dir = mkdtemp(pattern.data());
@@ -34,12 +34,12 @@
   ~Files() override { fs::remove_all(dir); }
 
   std::string frame(const Chunk& c) const { return packed.blob.substr(c.offset, c.stored_size); }
-  // All chunks, one after the other; `at` is called for each that stands.
+  // Writes all chunks in order and calls `at` after each.
   void write_all(Disk& disk, net::Loop& loop, const std::function<void(const Chunk&)>& at) {
     std::size_t left = packed.index.chunks.size();
     for (const Chunk& c : packed.index.chunks)
-      disk.write(key_of("", c.content), c, frame(c), [&, c](DiskEnd end, const std::string& why) {
-        EXPECT_EQ(end, DiskEnd::kOk) << why;
+      disk.write(key_of("", c.content), c, frame(c), [&, c](DiskStatus end, const std::string& why) {
+        EXPECT_EQ(end, DiskStatus::kOk) << why;
         at(c);
         if (--left == 0) loop.stop();
       });
@@ -47,7 +47,7 @@
   }
 };
 
-TEST_F(Files, KeepWhatWasWrittenInItsOrder) {
+TEST_F(Files, LoadsChunksInWriteOrder) {
   {
     net::Loop loop;
     auto opened = open_disk(dir, [&](std::function<void()> what) { loop.post(std::move(what)); });
@@ -59,7 +59,7 @@
   net::Loop loop;
   auto opened = open_disk(dir, [&](std::function<void()> what) { loop.post(std::move(what)); });
   ASSERT_TRUE(opened.disk) << opened.why;
-  const Disk::Found found = opened.disk->load();
+  const Disk::LoadedState found = opened.disk->load();
   ASSERT_EQ(found.chunks.size(), packed.index.chunks.size());
   for (std::size_t i = 0; i < found.chunks.size(); ++i)
     EXPECT_EQ(found.chunks[i].key, key_of("", packed.index.chunks[i].content));
@@ -70,29 +70,29 @@
   EXPECT_EQ(digest_of(*file), packed.index.chunks[0].content);
 }
 
-TEST_F(Files, ProveTellsOtherBytesOfTheSameSize) {
+TEST_F(Files, VerifyDetectsChangedBytesOfSameSize) {
   net::Loop loop;
   auto opened = open_disk(dir, [&](std::function<void()> what) { loop.post(std::move(what)); });
   opened.disk->load();
   write_all(*opened.disk, loop, [](const Chunk&) {});
   const Chunk& c = packed.index.chunks[1];
   const Key key = key_of("", c.content);
-  std::vector<DiskEnd> ends;
-  auto note = [&](DiskEnd end, const std::string&) {
+  std::vector<DiskStatus> ends;
+  auto note = [&](DiskStatus end, const std::string&) {
     ends.push_back(end);
     loop.stop();
   };
-  opened.disk->prove(key, c.content, note);
+  opened.disk->verify(key, c.content, note);
   loop.run();
   std::string bytes = *read_file(opened.disk->path(key));
   bytes[0] = static_cast<char>(bytes[0] ^ 1);
   std::ofstream(opened.disk->path(key), std::ios::binary) << bytes;
-  opened.disk->prove(key, c.content, note);
+  opened.disk->verify(key, c.content, note);
   loop.run();
-  EXPECT_EQ(ends, (std::vector<DiskEnd>{DiskEnd::kOk, DiskEnd::kCorrupt}));
+  EXPECT_EQ(ends, (std::vector<DiskStatus>{DiskStatus::kOk, DiskStatus::kCorrupt}));
 }
 
-TEST_F(Files, AFileOfAnotherSizeIsDropped) {
+TEST_F(Files, DropsFileOfWrongSize) {
   std::string file;
   {
     net::Loop loop;
@@ -104,12 +104,12 @@
   fs::resize_file(file, 10);
   net::Loop loop;
   auto opened = open_disk(dir, [&](std::function<void()> what) { loop.post(std::move(what)); });
-  const Disk::Found found = opened.disk->load();
+  const Disk::LoadedState found = opened.disk->load();
   EXPECT_EQ(found.chunks.size(), packed.index.chunks.size() - 1);
   EXPECT_FALSE(fs::exists(file));
 }
 
-TEST_F(Files, TwoAgentsDoNotShareADirectory) {
+TEST_F(Files, RefusesDirectoryInUse) {
   net::Loop loop;
   auto post = [&](std::function<void()> what) { loop.post(std::move(what)); };
   auto first = open_disk(dir, post);
@@ -119,8 +119,8 @@
   EXPECT_NE(second.why.find("in use"), std::string::npos) << second.why;
 }
 
-// A child writes and is killed at the n-th time of each step: what the next life finds is whole.
-TEST_F(Files, AKillAtAnyStepLeavesOnlyWholeChunks) {
+// A child process is killed at the n-th occurrence of each step; the next process finds only complete chunks.
+TEST_F(Files, KeepsOnlyCompleteChunksAfterKill) {
   for (const char* step : {"chunk-begun", "chunk-written", "chunk-renamed", "chunk-indexed"})
     for (const int times : {1, 4}) {
       fs::remove_all(dir);
@@ -143,7 +143,7 @@
       net::Loop loop;
       auto opened = open_disk(dir, [&](std::function<void()> what) { loop.post(std::move(what)); });
       ASSERT_TRUE(opened.disk) << opened.why;
-      const Disk::Found found = opened.disk->load();
+      const Disk::LoadedState found = opened.disk->load();
       EXPECT_LE(found.chunks.size(), static_cast<std::size_t>(times));
       for (const auto& kept : found.chunks) {
         bool whole = false;
@@ -160,8 +160,8 @@
     }
 }
 
-TEST_F(Files, ALayoutComesBackAndDamageIsSaid) {
-  std::ofstream(dir + "/model", std::ios::binary) << noise(200'000, 5);
+TEST_F(Files, LayoutRoundTripsAndReportsDamage) {
+  std::ofstream(dir + "/model", std::ios::binary) << random_bytes(200'000, 5);
   const std::string to = dir + "/layout";
   ASSERT_EQ(write_layout(to, "decoder", 3, {{"model", dir + "/model"}}, ChunkerOptions{16U << 10}, 3), "");
   std::string why;
@@ -169,7 +169,7 @@
   ASSERT_TRUE(layout) << why;
   EXPECT_EQ(verify_layout(*layout), "");
   EXPECT_NE(write_layout(to, "decoder", 4, {{"model", dir + "/model"}}, ChunkerOptions{}, 3),
-            "");  // not over another
+            "");  // refuses a directory that is not empty
   const std::string blob = blob_path(to, layout->manifest.layers[0].blob);
   std::string bytes = *read_file(blob);
   bytes[bytes.size() / 2] = static_cast<char>(bytes[bytes.size() / 2] ^ 1);
--- a/tests/layers/format_test.cpp
+++ b/tests/layers/format_test.cpp
@@ -1,4 +1,4 @@
-// Bytes of published versions: what is packed comes back, and nothing else is believed.
+// Tests of the published format: round trips, and rejection of malformed or corrupt input.
 #include "layers/format.h"
 
 #include <gtest/gtest.h>
@@ -10,15 +10,15 @@
 namespace laureltide::layers {
 namespace {
 
-std::string noise(std::size_t n, std::uint64_t seed) {
+std::string random_bytes(std::size_t n, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::string out(n, '\0');
-  for (char& c : out) c = static_cast<char>(random() & 0x3f);  // compresses by a quarter
+  for (char& c : out) c = static_cast<char>(random() & 0x3f);  // compressible by a quarter
   return out;
 }
 
-TEST(Digests, AreOfTheOneForm) {
-  // FIPS 180-2's example of one block
+TEST(Digests, AcceptsOnlySha256Notation) {
+  // one-block example of FIPS 180-2
   EXPECT_EQ(digest_of("abc").text(),
             "sha256:ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
   EXPECT_EQ(parse_digest(digest_of("abc").text()), digest_of("abc"));
@@ -30,30 +30,30 @@
     EXPECT_FALSE(parse_digest(bad)) << bad;
 }
 
-TEST(Chunks, AddUpAndStayInTheirBounds) {
+TEST(Chunks, SizesAddUpAndStayWithinLimits) {
   const ChunkerOptions o{8U << 10};
   for (const std::size_t size : {0UL, 1UL, 2048UL, 8192UL, 1000003UL}) {
     std::size_t sum = 0;
-    const auto sizes = cut(noise(size, 3), o);
+    const auto sizes = chunk_sizes(random_bytes(size, 3), o);
     for (std::size_t i = 0; i < sizes.size(); ++i) {
       sum += sizes[i];
-      EXPECT_LE(sizes[i], o.most());
+      EXPECT_LE(sizes[i], o.max_size());
       if (i + 1 < sizes.size()) {
-        EXPECT_GE(sizes[i], o.least());
+        EXPECT_GE(sizes[i], o.min_size());
       }
     }
     EXPECT_EQ(sum, size);
   }
-  const auto sizes = cut(noise(4U << 20, 5), o);
+  const auto sizes = chunk_sizes(random_bytes(4U << 20, 5), o);
   const double mean = 4.0 * 1048576 / static_cast<double>(sizes.size());
   EXPECT_GT(mean, 0.6 * 8192);
   EXPECT_LT(mean, 1.8 * 8192);
 }
 
-// What the cuts are for: an insertion at the front leaves what is behind it as it was.
-TEST(Chunks, AnInsertionMovesOnlyTheCutsBesideIt) {
-  const std::string before = noise(1U << 20, 7);
-  const std::string after = noise(100, 8) + before;
+// Purpose of content-defined chunking: an insertion at the front leaves later chunks unchanged.
+TEST(Chunks, InsertionMovesOnlyAdjacentBoundaries) {
+  const std::string before = random_bytes(1U << 20, 7);
+  const std::string after = random_bytes(100, 8) + before;
   const ChunkerOptions o{8U << 10};
   auto shared = [&](auto how) {
     std::set<Digest> known;
@@ -67,12 +67,12 @@
     }
     return bytes;
   };
-  EXPECT_GT(shared([](auto b, auto& x) { return cut(b, x); }), after.size() * 9 / 10);
-  EXPECT_EQ(shared([](auto b, auto& x) { return cut_fixed(b, x); }), 0U);
+  EXPECT_GT(shared([](auto b, auto& x) { return chunk_sizes(b, x); }), after.size() * 9 / 10);
+  EXPECT_EQ(shared([](auto b, auto& x) { return fixed_chunk_sizes(b, x); }), 0U);
 }
 
-TEST(Layers, ComeBackAsTheyWerePacked) {
-  const std::string plain = noise(300000, 11);
+TEST(Layers, RoundTrip) {
+  const std::string plain = random_bytes(300000, 11);
   const PackedLayer packed = pack_layer(plain, ChunkerOptions{16U << 10});
   std::string why;
   const auto index = parse_index(packed.index_bytes, why);
@@ -88,8 +88,8 @@
   EXPECT_EQ(back, plain);
 }
 
-TEST(Layers, AChunkThatIsNotItsDigestIsNotUnpacked) {
-  const PackedLayer packed = pack_layer(noise(50000, 13), ChunkerOptions{16U << 10});
+TEST(Layers, RejectsChunkWithWrongDigest) {
+  const PackedLayer packed = pack_layer(random_bytes(50000, 13), ChunkerOptions{16U << 10});
   const Chunk c = packed.index.chunks[0];
   const std::string frame = packed.blob.substr(0, c.stored_size);
   std::string why;
@@ -100,12 +100,12 @@
     EXPECT_EQ(why, "the chunk's digest does not match");
   }
   EXPECT_FALSE(unpack_chunk(frame.substr(1), c, why));
-  Chunk lies = c;  // an index that names a frame of other content, or another size
-  lies.content = digest_of("other");
-  EXPECT_FALSE(unpack_chunk(frame, lies, why));
-  lies = c;
-  lies.size -= 1;
-  EXPECT_FALSE(unpack_chunk(frame, lies, why));
+  Chunk wrong = c;  // an index with the wrong content digest or size
+  wrong.content = digest_of("other");
+  EXPECT_FALSE(unpack_chunk(frame, wrong, why));
+  wrong = c;
+  wrong.size -= 1;
+  EXPECT_FALSE(unpack_chunk(frame, wrong, why));
 }
 
 Manifest example() {
@@ -115,7 +115,7 @@
   return m;
 }
 
-TEST(Manifests, ComeBackAsTheyWereWritten) {
+TEST(Manifests, RoundTrip) {
   std::string why;
   const auto m = parse_manifest(write_manifest(example()), why);
   ASSERT_TRUE(m) << why;
@@ -124,7 +124,7 @@
   EXPECT_EQ(m->layers, example().layers);
 }
 
-TEST(Manifests, SayWhatIsWrong) {
+TEST(Manifests, ReportParseErrors) {
   std::string why;
   const std::string good = write_manifest(example());
   auto with = [&](const std::string& from, const std::string& to) {
@@ -134,28 +134,28 @@
     return text.replace(at, from.size(), to);
   };
   const std::pair<std::string, std::string> cases[] = {
-      {"", "the manifest is no JSON object"},
-      {"[1]", "the manifest is no JSON object"},
+      {"", "the manifest is not a JSON object"},
+      {"[1]", "the manifest is not a JSON object"},
       {with("\"schemaVersion\":2", "\"schemaVersion\":1"), "schemaVersion is not 2"},
       {with(kArtifactType, "application/x"), "artifactType is not that of a function"},
       {with("\"dev.laureltide.release\":\"7\"", "\"dev.laureltide.release\":\"-7\""),
-       "annotation dev.laureltide.release is no number"},
+       "annotation dev.laureltide.release is not a number"},
       {with("\"dev.laureltide.function\":\"decoder\"", "\"dev.laureltide.function\":7"),
        "annotation dev.laureltide.function does not name a function"},
       {with(kLayerType, "application/x"), "there is no layer"},
       {with("\"dev.laureltide.layer.index\":\"sha256", "\"dev.laureltide.layer.index\":\"sha512"),
        "a layer whose annotation does not name its index"},
       {with(kIndexType, "application/x"), "a layer's index is not listed"},
-      {std::string(kMostManifest + 1, ' '), "the manifest is over 4 MiB"},
-      {std::string(100000, '['), "the manifest is no JSON object"}};
+      {std::string(kMaxManifestBytes + 1, ' '), "the manifest is over 4 MiB"},
+      {std::string(100000, '['), "the manifest is not a JSON object"}};
   for (const auto& [text, reason] : cases) {
     EXPECT_FALSE(parse_manifest(text, why));
     EXPECT_EQ(why, reason);
   }
 }
 
-TEST(Indexes, SayWhatIsWrong) {
-  Index index = pack_layer(noise(40000, 17), ChunkerOptions{16U << 10}).index;
+TEST(Indexes, ReportParseErrors) {
+  Index index = pack_layer(random_bytes(40000, 17), ChunkerOptions{16U << 10}).index;
   std::string why;
   auto parse = [&](Index i) { return parse_index(write_index(i), why); };
   ASSERT_TRUE(parse(index)) << why;
@@ -168,16 +168,16 @@
   EXPECT_FALSE(parse(bad));
   EXPECT_EQ(why, "a chunk's size is out of bounds");
   bad = index;
-  bad.size += kMostChunk + 1 - bad.chunks[0].size;
-  bad.chunks[0].size = kMostChunk + 1;
+  bad.size += kMaxChunkBytes + 1 - bad.chunks[0].size;
+  bad.chunks[0].size = kMaxChunkBytes + 1;
   EXPECT_FALSE(parse(bad));
   EXPECT_EQ(why, "a chunk's size is out of bounds");
   EXPECT_FALSE(parse_index(R"({"layout":2})", why));
-  EXPECT_EQ(why, "an index of another layout");
+  EXPECT_EQ(why, "unsupported index layout version");
   EXPECT_FALSE(parse_index(R"({"layout":1,"digest":"sha256:00","size":0,"chunks":[]})", why));
 }
 
-TEST(Repositories, HaveTheSpecificationsForm) {
+TEST(Repositories, AcceptsOnlyValidNames) {
   for (const char* good : {"a", "functions/decoder-0", "a/b/c", "a.b", "a_b", "a__b", "a--b", "0"})
     EXPECT_TRUE(valid_repository(good)) << good;
   for (const char* bad :
