--- a/tests/layers/scheduler_test.cpp
+++ b/tests/layers/scheduler_test.cpp
@@ -1,4 +1,4 @@
-// What the scheduler keeps, each with a case that fails without it.
+// Tests of the scheduler; each case fails without the rule that it covers.
 #include "layers/scheduler.h"
 
 #include <gtest/gtest.h>
@@ -32,13 +32,13 @@
     while (const auto s = scheduler().next(now)) all.push_back(*s);
     return all;
   }
-  Verdict end(const ScheduledAttempt& s, FetchOutcome how = FetchOutcome::kOk, Duration retry = {}) {
+  AttemptVerdict end(const ScheduledAttempt& s, FetchOutcome how = FetchOutcome::kOk, Duration retry = {}) {
     return scheduler().on_attempt_ended(now, s.id, s.attempt, how, retry);
   }
 };
 
-TEST_F(Fetches, CallsGoBeforeHoldsBeforeRenewalsBeforePrefetch) {
-  options.first_window = 1, options.share[2] = options.share[3] = 1;
+TEST_F(Fetches, StartsCallsThenHoldsThenRenewalsThenPrefetch) {
+  options.initial_window = 1, options.share[2] = options.share[3] = 1;
   const auto d = add(Level::kPrefetch), c = add(Level::kRenewal), b = add(Level::kHold),
              a = add(Level::kCall);
   for (const std::uint64_t wanted : {a, b, c, d}) {
@@ -49,20 +49,20 @@
   }
 }
 
-TEST_F(Fetches, AReleaseLeavesRoomForCalls) {
-  options.first_window = 8, options.max_window = 8;
+TEST_F(Fetches, RenewalsLeaveCapacityForCalls) {
+  options.initial_window = 8, options.max_window = 8;
   for (int i = 0; i < 100; ++i) add(Level::kRenewal);
   EXPECT_EQ(start_all().size(), 4U);  // half of the window
   add(Level::kCall);
-  EXPECT_EQ(start_all().size(), 1U);  // at once, with nothing ended
+  EXPECT_EQ(start_all().size(), 1U);  // starts before any fetch has ended
 }
 
-TEST_F(Fetches, WhatHasWaitedLongIsNotStarvedByCalls) {
-  options.first_window = 1, options.max_window = 1;
+TEST_F(Fetches, CallsDoNotStarveAgedFetches) {
+  options.initial_window = 1, options.max_window = 1;
   const auto old = add(Level::kPrefetch);
   now += 6s;
   int started = 0;
-  for (int i = 0; i < 2 * options.aged_every; ++i) {
+  for (int i = 0; i < 2 * options.aged_start_interval; ++i) {
     add(Level::kCall);
     const auto s = scheduler().next(now);
     ASSERT_TRUE(s);
@@ -70,11 +70,11 @@
     end(*s);
   }
   EXPECT_GT(started, 0);
-  EXPECT_LE(started, options.aged_every);
+  EXPECT_LE(started, options.aged_start_interval);
 }
 
 TEST_F(Fetches, FunctionsOfATenantShareByBytes) {
-  options.first_window = 1, options.max_window = 1;
+  options.initial_window = 1, options.max_window = 1;
   for (int i = 0; i < 60; ++i) add(Level::kCall, 1, 0, 3000);
   for (int i = 0; i < 60; ++i) add(Level::kCall, 2, 0, 1000);
   int first = 0, second = 0;
@@ -87,11 +87,10 @@
   EXPECT_NEAR(second, 30, 1);
 }
 
-TEST_F(Fetches, TenantsShareByWeightWhateverTheyAskFor) {
-  options.first_window = 1, options.max_window = 1;
+TEST_F(Fetches, TenantsShareByWeight) {
+  options.initial_window = 1, options.max_window = 1;
   scheduler().set_weight(7, 3);
-  for (int i = 0; i < 400; ++i)
-    add(Level::kRenewal, static_cast<std::uint64_t>(i), 6);  // a flood of functions
+  for (int i = 0; i < 400; ++i) add(Level::kRenewal, static_cast<std::uint64_t>(i), 6);  // many functions
   for (int i = 0; i < 100; ++i) add(Level::kRenewal, 1, 7);
   int light = 0;
   for (int i = 0; i < 80; ++i) {
@@ -102,18 +101,18 @@
   EXPECT_NEAR(light, 60, 2);
 }
 
-TEST_F(Fetches, ATenantHasItsBoundOfFetchesAtOnce) {
-  options.first_window = 8, options.tenant_at_once = 2;
+TEST_F(Fetches, LimitsConcurrentFetchesPerTenant) {
+  options.initial_window = 8, options.max_running_per_tenant = 2;
   for (int i = 0; i < 5; ++i) add(Level::kCall, 1, 1);
   for (int i = 0; i < 5; ++i) add(Level::kCall, 1, 2);
   const auto all = start_all();
   EXPECT_EQ(all.size(), 4U);
   end(all[0]);
-  EXPECT_EQ(start_all().size(), 1U);  // its tenant's next
+  EXPECT_EQ(start_all().size(), 1U);  // the next fetch of the same tenant
 }
 
-TEST_F(Fetches, TheWindowGrowsWhileTheStoreIsWellAndIsCutWhenItTurnsAway) {
-  options.first_window = 4;
+TEST_F(Fetches, WindowGrowsOnSuccessAndShrinksOnBusy) {
+  options.initial_window = 4;
   std::deque<ScheduledAttempt> out;
   for (int i = 0; i < 400; ++i) add(Level::kCall);
   for (int i = 0; i < 10; ++i) {
@@ -128,14 +127,14 @@
   const double cut = scheduler().state(now, 0).window;
   EXPECT_NEAR(cut, grown / 2, 0.1);
   end(out.front(), FetchOutcome::kBusy), out.pop_front();
-  EXPECT_EQ(scheduler().state(now, 0).window, cut);  // one jam, one cut
+  EXPECT_EQ(scheduler().state(now, 0).window, cut);  // one congestion event shrinks the window once
   now += 1s;
   end(out.front(), FetchOutcome::kBusy);
   EXPECT_LT(scheduler().state(now, 0).window, cut);
 }
 
-TEST_F(Fetches, TheWindowShrinksWhenTheStoreSlows) {
-  options.first_window = 8;
+TEST_F(Fetches, WindowShrinksWhenStoreSlowsDown) {
+  options.initial_window = 8;
   for (int i = 0; i < 2000; ++i) add(Level::kCall);
   auto run = [&](Duration took, int rounds) {
     for (int i = 0; i < rounds; ++i) {
@@ -150,23 +149,23 @@
   EXPECT_LT(scheduler().state(now, 0).window, before / 2);
 }
 
-TEST_F(Fetches, AStoreRestsAsLongAsItAsksAndNotForEver) {
+TEST_F(Fetches, HonorsRetryAfterUpToLimit) {
   const auto id = add(Level::kCall);
   auto s = scheduler().next(now);
   add(Level::kCall);
-  EXPECT_EQ(end(*s, FetchOutcome::kBusy, 5s).kind, Verdict::Kind::kAgain);
+  EXPECT_EQ(end(*s, FetchOutcome::kBusy, 5s).kind, AttemptVerdict::Kind::kRetry);
   now += 4s;
   EXPECT_FALSE(scheduler().next(now));
-  ASSERT_TRUE(scheduler().wake(now));
-  EXPECT_GE(*scheduler().wake(now), now + 1s);
+  ASSERT_TRUE(scheduler().next_wakeup(now));
+  EXPECT_GE(*scheduler().next_wakeup(now), now + 1s);
   now += 5s;
   EXPECT_TRUE(scheduler().next(now));
   end({id, 1, 0, false}, FetchOutcome::kBusy, 24h);
-  now += 2 * options.longest_rest;
+  now += 2 * options.max_cooldown;
   EXPECT_FALSE(start_all().empty());
 }
 
-TEST_F(Fetches, RepeatsWaitLongerEachTimeAndEnd) {
+TEST_F(Fetches, RetriesBackOffAndEnd) {
   add(Level::kCall);
   Duration last{};
   int tried = 0;
@@ -174,26 +173,26 @@
     const auto s = scheduler().next(now);
     ASSERT_TRUE(s);
     ++tried;
-    const Verdict v = end(*s, FetchOutcome::kBroken);
-    if (v.kind == Verdict::Kind::kGaveUp) {
+    const AttemptVerdict v = end(*s, FetchOutcome::kBroken);
+    if (v.kind == AttemptVerdict::Kind::kGaveUp) {
       EXPECT_NE(v.why.find("6 attempts"), std::string::npos) << v.why;
       break;
     }
-    EXPECT_FALSE(scheduler().next(now));  // not at once
-    const auto wake = scheduler().wake(now);
-    ASSERT_TRUE(wake);
-    const Duration pause = *wake - now;
+    EXPECT_FALSE(scheduler().next(now));  // no immediate retry
+    const auto next_wakeup = scheduler().next_wakeup(now);
+    ASSERT_TRUE(next_wakeup);
+    const Duration pause = *next_wakeup - now;
     if (tried > 2) {
       EXPECT_GT(pause, last / 2);
     }
-    last = pause, now = *wake;
+    last = pause, now = *next_wakeup;
   }
   EXPECT_EQ(tried, 6);
   EXPECT_EQ(scheduler().size(), 0U);
 }
 
-TEST_F(Fetches, TheBudgetOfRepeatsHoldsForAllTogether) {
-  options.first_window = options.max_window = 64, options.most_attempts = 1000;
+TEST_F(Fetches, RetryBudgetIsSharedByAllFetches) {
+  options.initial_window = options.max_window = 64, options.max_attempts = 1000;
   for (int i = 0; i < 64; ++i) add(Level::kCall);
   int attempts = 0;
   const Time until = now + 60s;
@@ -201,28 +200,28 @@
     for (const ScheduledAttempt& s : start_all()) ++attempts, end(s, FetchOutcome::kBroken);
     now += 10ms;
   }
-  // 64 first attempts, what the budget held, and one a second.
+  // 64 first attempts, the initial budget, and one retry per second.
   EXPECT_LE(attempts, 64 + 16 + 60 + 8);
-  EXPECT_GE(attempts, 64 + 16 + 30);  // and it does go on asking
+  EXPECT_GE(attempts, 64 + 16 + 30);  // retries continue
 }
 
-TEST_F(Fetches, WhatTheStoreDoesNotHaveIsNotAskedForAgain) {
+TEST_F(Fetches, DoesNotRetryMissingContent) {
   add(Level::kCall);
-  EXPECT_EQ(end(*scheduler().next(now), FetchOutcome::kMissing).kind, Verdict::Kind::kGaveUp);
+  EXPECT_EQ(end(*scheduler().next(now), FetchOutcome::kMissing).kind, AttemptVerdict::Kind::kGaveUp);
   add(Level::kCall);
-  EXPECT_EQ(end(*scheduler().next(now), FetchOutcome::kRefused).kind, Verdict::Kind::kGaveUp);
+  EXPECT_EQ(end(*scheduler().next(now), FetchOutcome::kRefused).kind, AttemptVerdict::Kind::kGaveUp);
 }
 
-TEST_F(Fetches, ACorruptReplicaIsLeftAlone) {
+TEST_F(Fetches, AvoidsCorruptReplica) {
   scheduler().set_replicas(0, 2);
   add(Level::kCall);
   const ScheduledAttempt first = *scheduler().next(now);
-  EXPECT_EQ(end(first, FetchOutcome::kCorrupt).kind, Verdict::Kind::kAgain);
-  now = *scheduler().wake(now);
+  EXPECT_EQ(end(first, FetchOutcome::kCorrupt).kind, AttemptVerdict::Kind::kRetry);
+  now = *scheduler().next_wakeup(now);
   const ScheduledAttempt second = *scheduler().next(now);
   EXPECT_NE(second.replica, first.replica);
   end(second);
-  for (int i = 0; i < 10; ++i) {  // and for all others, for a while
+  for (int i = 0; i < 10; ++i) {  // other fetches avoid the replica too
     add(Level::kCall);
     const ScheduledAttempt s = *scheduler().next(now);
     EXPECT_NE(s.replica, first.replica);
@@ -230,8 +229,8 @@
   }
 }
 
-TEST_F(Fetches, HedgesOnlyWhatIsWaitedForAndOnlyWithinTheirBudget) {
-  options.first_window = 64;
+TEST_F(Fetches, HedgesOnlyUrgentFetchesWithinBudget) {
+  options.initial_window = 64;
   scheduler().set_replicas(0, 2);
   for (int i = 0; i < 6; ++i) add(Level::kCall);
   const auto renewal = add(Level::kRenewal);
@@ -239,7 +238,7 @@
   ASSERT_EQ(out.size(), 7U);
   now += 1s;
   const auto hedges = start_all();
-  EXPECT_EQ(hedges.size(), 4U);  // the whole budget
+  EXPECT_EQ(hedges.size(), 4U);  // the whole hedge budget
   for (const ScheduledAttempt& h : hedges) {
     EXPECT_TRUE(h.hedge);
     EXPECT_NE(h.id, renewal);
@@ -248,26 +247,26 @@
         EXPECT_NE(o.replica, h.replica);
       }
   }
-  // The first that is whole ends both; the other is to be called off.
-  const Verdict v = end(hedges[0]);
-  EXPECT_EQ(v.kind, Verdict::Kind::kDone);
-  EXPECT_EQ(v.call_off.size(), 1U);
+  // The first complete attempt ends the fetch; the other one must be cancelled.
+  const AttemptVerdict v = end(hedges[0]);
+  EXPECT_EQ(v.kind, AttemptVerdict::Kind::kDone);
+  EXPECT_EQ(v.attempts_to_cancel.size(), 1U);
 }
 
-TEST_F(Fetches, ARepeatGoesToAnotherReplica) {
+TEST_F(Fetches, RetriesOnAnotherReplica) {
   scheduler().set_replicas(0, 2);
   for (int i = 0; i < 10; ++i) {
     add(Level::kCall);
     const ScheduledAttempt first = *scheduler().next(now);
     end(first, FetchOutcome::kBroken);
-    now = *scheduler().wake(now);
+    now = *scheduler().next_wakeup(now);
     const ScheduledAttempt second = *scheduler().next(now);
     EXPECT_NE(second.replica, first.replica);
     end(second);
   }
 }
 
-TEST_F(Fetches, WhatNobodyWaitsForIsNeverHedged) {
+TEST_F(Fetches, NeverHedgesRenewalsAndPrefetch) {
   scheduler().set_replicas(0, 2);
   add(Level::kRenewal), add(Level::kPrefetch);
   EXPECT_EQ(start_all().size(), 2U);
@@ -275,34 +274,34 @@
   EXPECT_TRUE(start_all().empty());
 }
 
-TEST_F(Fetches, OneReplicaIsNeverHedged) {
+TEST_F(Fetches, NeverHedgesWithOneReplica) {
   add(Level::kCall);
   start_all();
   now += 10s;
   EXPECT_TRUE(start_all().empty());
 }
 
-TEST_F(Fetches, WhatNobodyWaitsForIsCalledOff) {
-  options.first_window = 1;
+TEST_F(Fetches, DropReturnsAttemptsToCancel) {
+  options.initial_window = 1;
   const auto running = add(Level::kCall), waiting = add(Level::kCall), later = add(Level::kCall);
   ASSERT_EQ(scheduler().next(now)->id, running);
   EXPECT_TRUE(scheduler().drop(now, waiting).empty());
   EXPECT_EQ(scheduler().drop(now, running), std::vector<std::uint32_t>{0});
-  EXPECT_EQ(scheduler().next(now)->id, later);  // its place is free
+  EXPECT_EQ(scheduler().next(now)->id, later);  // its slot is free
   EXPECT_EQ(scheduler().on_attempt_ended(now, running, 0, FetchOutcome::kOk, {}).kind,
-            Verdict::Kind::kNobody);
+            AttemptVerdict::Kind::kDropped);
 }
 
-TEST_F(Fetches, RaisedGoesAheadAtOnce) {
-  options.first_window = 1;
+TEST_F(Fetches, RaisedFetchStartsFirst) {
+  options.initial_window = 1;
   for (int i = 0; i < 10; ++i) add(Level::kRenewal);
   const auto last = add(Level::kRenewal);
   scheduler().raise(now, last, Level::kCall);
   EXPECT_EQ(scheduler().next(now)->id, last);
 }
 
-TEST_F(Fetches, BytesASecondOfALevelHold) {
-  options.first_window = options.max_window = 64, options.share[2] = 1;
+TEST_F(Fetches, LimitsByteRatePerLevel) {
+  options.initial_window = options.max_window = 64, options.share[2] = 1;
   options.bytes_per_s[2] = 10'000;
   for (int i = 0; i < 200; ++i) add(Level::kRenewal, 1, 0, 1000);
   int started = 0;
@@ -310,22 +309,22 @@
     for (const ScheduledAttempt& s : start_all()) ++started, end(s);
     now += 100ms;
   }
-  EXPECT_NEAR(started, 100 + 10, 6);  // ten a second, and a second's worth ahead
+  EXPECT_NEAR(started, 100 + 10, 6);  // ten per second, plus a burst of one second's rate
 }
 
-TEST_F(Fetches, OverItsBoundNothingIsTaken) {
-  options.most_waiting = 3;
+TEST_F(Fetches, RefusesFetchOverLimit) {
+  options.max_fetches = 3;
   for (int i = 0; i < 3; ++i) add(Level::kCall);
   Fetch f;
   f.id = 99;
   EXPECT_FALSE(scheduler().add(now, f));
 }
 
-// Whatever happens: every fetch ends once, no bound is passed, and an idle scheduler holds nothing.
-TEST(FetchHistories, EveryFetchEndsAndNoBoundIsPassed) {
+// Property: every fetch ends exactly once, no limit is exceeded, and an idle scheduler has no state left.
+TEST(FetchHistories, EveryFetchEndsWithinLimits) {
   EXPECT_TRUE(rc::check("histories", [] {
     SchedulerOptions o;
-    o.max_window = 6, o.tenant_at_once = 3;
+    o.max_window = 6, o.max_running_per_tenant = 3;
     Scheduler s(o, *rc::gen::arbitrary<std::uint64_t>());
     s.set_replicas(0, static_cast<std::uint32_t>(*rc::gen::inRange(1, 3)));
     Time now{1h};
@@ -333,10 +332,10 @@
     std::map<std::uint64_t, std::uint32_t> tenant;
     std::set<std::uint64_t> open;
     std::uint64_t next = 1;
-    auto settle = [&](std::uint64_t id, const Verdict& v) {
-      if (v.kind == Verdict::Kind::kDone || v.kind == Verdict::Kind::kGaveUp) {
+    auto settle = [&](std::uint64_t id, const AttemptVerdict& v) {
+      if (v.kind == AttemptVerdict::Kind::kDone || v.kind == AttemptVerdict::Kind::kGaveUp) {
         RC_ASSERT(open.erase(id) == 1);
-        for (const std::uint32_t a : v.call_off) RC_ASSERT(out[id].erase(a) == 1);
+        for (const std::uint32_t a : v.attempts_to_cancel) RC_ASSERT(out[id].erase(a) == 1);
         RC_ASSERT(out[id].empty());
       }
     };
@@ -349,7 +348,7 @@
         for (const auto& [id, attempts] : out) all += attempts.size(), of[tenant[id]] += attempts.size();
         RC_ASSERT(all <= 6);
         RC_ASSERT(s.state(now, 0).running == all);
-        for (const auto& [t, n] : of) RC_ASSERT(n <= 3 + 1);  // a hedge may go over
+        for (const auto& [t, n] : of) RC_ASSERT(n <= 3 + 1);  // a hedge may exceed the limit
       }
     };
     auto end_one = [&](FetchOutcome how) {
@@ -389,7 +388,7 @@
     }
     for (int i = 0; i < 10000 && !open.empty(); ++i) {
       end_one(FetchOutcome::kOk);
-      if (const auto wake = s.wake(now)) now = std::max(now, *wake);
+      if (const auto next_wakeup = s.next_wakeup(now)) now = std::max(now, *next_wakeup);
       start();
     }
     RC_ASSERT(open.empty());
