--- a/src/check/layers.cpp
+++ b/src/check/layers.cpp
@@ -21,7 +21,7 @@
   std::set<std::string> blobs, functions;
   std::map<std::pair<std::string, std::string>, std::map<std::uint64_t, std::uint64_t>>
       sent;  // (host, blob) to ranges: begin, end
-  std::set<std::string> boxes;
+  std::set<std::string> hosts_seen;
   for (const auto& note : recording)
     if (note.value("e", "") == "release") {
       versions[note.at("version")] = {note.at("function"), note.at("release"), note.at("layers")};
@@ -32,21 +32,22 @@
   for (const auto& note : recording) {
     const std::string event = note.value("e", "");
     if (event == "store-sent") {
-      const std::string box = note.at("to"), said = note.at("what");
-      const std::size_t space = said.find(' ');
+      const std::string host = note.at("to"), transfer = note.at("what");
+      const std::size_t space = transfer.find(' ');
       unsigned long long from = 0, to = 0;
-      if (space == std::string::npos || std::sscanf(said.c_str() + space + 1, "%llu-%llu", &from, &to) != 2)
+      if (space == std::string::npos ||
+          std::sscanf(transfer.c_str() + space + 1, "%llu-%llu", &from, &to) != 2)
         continue;
-      const std::string blob = said.substr(0, space);
+      const std::string blob = transfer.substr(0, space);
       if (!blobs.contains(blob)) continue;
       ++v.ranges, v.bytes += to - from;
-      boxes.insert(box);
-      auto& ranges = sent[{box, blob}];
+      hosts_seen.insert(host);
+      auto& ranges = sent[{host, blob}];
       auto next = ranges.lower_bound(from);
       const bool into_next = next != ranges.end() && next->first < to;
       const bool into_last = next != ranges.begin() && std::prev(next)->second > from;
       if (into_next || into_last)
-        v.duplicate_sends.push_back(box + " was sent bytes " + std::to_string(from) + " to " +
+        v.duplicate_sends.push_back(host + " was sent bytes " + std::to_string(from) + " to " +
                                     std::to_string(to) + " of " + blob + " again");
       ranges[from] = std::max<std::uint64_t>(to, ranges[from]);
     } else if (event == "ran") {
@@ -66,7 +67,7 @@
                                    std::to_string(it->second.release));
     }
   }
-  v.boxes = boxes.size();
+  v.boxes = hosts_seen.size();
   return v;
 }
 
--- a/src/layers/agent.cpp
+++ b/src/layers/agent.cpp
@@ -41,7 +41,7 @@
 }
 Agent::~Agent() { *alive_ = false; }
 
-// ---- After a restart --------------------------------------------------------------------------------------
+// ---- After a restart ----
 
 std::string Agent::record_name(const VersionName& name) { return name.first + "\n" + name.second.text(); }
 
@@ -125,8 +125,7 @@
                     std::to_string(cache_.chunks()) + " chunks recovered from disk");
 }
 
-// ---- Snapshot requests
-// ---------------------------------------------------------------------------------------------------
+// ---- Snapshot requests ----
 
 Agent::Function* Agent::function(const std::string& name) {
   const auto it = functions_.find(name);
@@ -223,8 +222,7 @@
   return s;
 }
 
-// ---- Tags
-// ---------------------------------------------------------------------------------------------------
+// ---- Tags ----
 
 void Agent::poll_tag(const std::string& name) {
   if (Function* f = function(name)) mark_used(*f), fetch_tag(*f, Level::kRenewal);
@@ -298,8 +296,7 @@
       attach(ticket, version({f.domain, f.current ? *f.current : *f.latest}, f.name));
 }
 
-// ---- Versions
-// -----------------------------------------------------------------------------------------------
+// ---- Versions ----
 
 Agent::Version& Agent::version(const VersionName& name, const std::string& function_name) {
   auto& slot = versions_[name];
@@ -528,8 +525,7 @@
   return all;
 }
 
-// ---- Jobs
-// ---------------------------------------------------------------------------------------------------
+// ---- Jobs ----
 
 Agent::Job& Agent::start_or_join_job(const std::string& dedup_key, Job fresh, Version* for_version,
                                      Level level) {
@@ -704,8 +700,7 @@
   }
 }
 
-// ---- Writing and verifying chunks
-// ------------------------------------------------------------------------
+// ---- Writing and verifying chunks ----
 
 void Agent::store_chunk(std::uint64_t id, std::string frame) {
   Job& job = jobs_.at(id);
@@ -772,8 +767,7 @@
   }
 }
 
-// ---- Pins and leases
-// ----------------------------------------------------------------------------------------
+// ---- Pins and leases ----
 
 bool Agent::unpin(std::uint64_t id) {
   const auto it = pins_.find(id);
--- a/src/layers/files.cpp
+++ b/src/layers/files.cpp
@@ -66,14 +66,14 @@
     // Files prove that bytes exist, the index that they were written completely: keep chunks that are in
     // both.
     std::error_code error;
-    std::vector<std::pair<std::uint64_t, LoadedState::StoredChunk>> kept;
+    std::vector<std::pair<std::uint64_t, LoadedState::StoredChunk>> stored;
     for (const auto& part : fs::directory_iterator(directory_ + "/chunks", error)) {
       for (const auto& file : fs::directory_iterator(part.path(), error)) {
         const auto key = parse_digest("sha256:" + file.path().filename().string());
         const auto it = key ? entries.find(*key) : entries.end();
         const bool matches = it != entries.end() && file.file_size(error) == it->second.size;
         if (matches) {
-          kept.push_back({it->second.order, {*key, it->second.size}});
+          stored.push_back({it->second.order, {*key, it->second.size}});
           entries.erase(it);
         } else {
           fs::remove(file.path(), error);
@@ -87,8 +87,8 @@
     }
     for (const auto& file : fs::directory_iterator(directory_ + "/half", error))
       fs::remove(file.path(), error);
-    std::sort(kept.begin(), kept.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
-    for (auto& [order, chunk] : kept) found.chunks.push_back(chunk);
+    std::sort(stored.begin(), stored.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
+    for (auto& [order, chunk] : stored) found.chunks.push_back(chunk);
     return found;
   }
 
@@ -213,23 +213,23 @@
 }  // namespace
 
 OpenedDisk open_disk(const std::string& directory, std::function<void(std::function<void()>)> post) {
-  const std::string whole = fs::absolute(directory).string();
+  const std::string root = fs::absolute(directory).string();
   std::error_code error;
   for (const char* part : {"/half", "/chunks"}) {
-    fs::create_directories(whole + part, error);
-    if (error) return {nullptr, whole + part + " cannot be created: " + error.message()};
+    fs::create_directories(root + part, error);
+    if (error) return {nullptr, root + part + " cannot be created: " + error.message()};
   }
   static constexpr char kDigits[] = "0123456789abcdef";
   for (int i = 0; i < 256 && !error; ++i)
-    fs::create_directories(whole + "/chunks/" + kDigits[i >> 4] + kDigits[i & 15], error);
-  if (error) return {nullptr, whole + "/chunks cannot be made: " + error.message()};
+    fs::create_directories(root + "/chunks/" + kDigits[i >> 4] + kDigits[i & 15], error);
+  if (error) return {nullptr, root + "/chunks cannot be created: " + error.message()};
   store::LmdbOptions options;
-  options.directory = whole + "/index";
+  options.directory = root + "/index";
   options.most_mb = 1024;
   options.what = "layers-index";
   auto opened = store::open_lmdb(options, post);
   if (!opened.store) return {nullptr, opened.why};
-  return {std::make_unique<FileDisk>(whole, std::move(opened.store), std::move(post)), {}};
+  return {std::make_unique<FileDisk>(root, std::move(opened.store), std::move(post)), {}};
 }
 
 }  // namespace laureltide::layers
--- a/src/layers/layout.cpp
+++ b/src/layers/layout.cpp
@@ -114,7 +114,7 @@
     const auto blob = read_file(blob_path(layout.directory, layout.manifest.layers[i].blob));
     if (!blob || digest_of(*blob) != layout.manifest.layers[i].blob)
       return "layer " + title + ": its blob is missing or does not match its digest";
-    Hasher whole;
+    Hasher layer_hasher;
     std::uint64_t end = 0;
     for (std::size_t n = 0; n < layout.indexes[i].chunks.size(); ++n) {
       const Chunk& c = layout.indexes[i].chunks[n];
@@ -124,10 +124,10 @@
       std::string why;
       const auto plain = unpack_chunk(std::string_view(*blob).substr(c.offset, c.stored_size), c, why);
       if (!plain) return where + why;
-      whole.add(*plain);
+      layer_hasher.add(*plain);
     }
     if (end != blob->size()) return "layer " + title + ": trailing bytes after the last chunk";
-    if (whole.finish() != layout.indexes[i].content)
+    if (layer_hasher.finish() != layout.indexes[i].content)
       return "layer " + title + ": the layer does not match its digest";
   }
   return {};
--- a/src/layers/scheduler.cpp
+++ b/src/layers/scheduler.cpp
@@ -68,8 +68,8 @@
     const auto it = tags_.find(key);
     if (it != tags_.end()) ready_.erase({it->second, key});
   }
-  void remove_idle(Key key) {  // the child has no fetches; its virtual time is kept for a while so that debt
-                               // is not forgotten
+  // The child has no fetches left. Its virtual time is kept for a while, so that its debt is not forgotten.
+  void remove_idle(Key key) {
     remove(key);
     if (tags_.size() <= 4 * ready_.size() + 64) return;
     std::erase_if(tags_, [&](const auto& t) {
@@ -111,11 +111,8 @@
     Time since{};
     bool hedge = false;
   };
-  enum class Stage {
-    kQueued,
-    kBackoff,
-    kRunning
-  };  // queued, waiting for a retry, or with attempts in flight
+  // Queued, waiting for a retry, or with attempts in flight.
+  enum class Stage { kQueued, kBackoff, kRunning };
   struct Item {
     Fetch fetch;
     Stage stage = Stage::kQueued;
@@ -154,8 +151,8 @@
     int start_count = 0;
     bool window_full = false;  // more fetches would run with a larger window
     std::multimap<Time, std::uint64_t> backoffs;
-    std::set<std::pair<Time, std::uint64_t>>
-        hedgeable;  // calls and holds with one attempt in flight, by start time
+    // Calls and holds with one attempt in flight, by start time.
+    std::set<std::pair<Time, std::uint64_t>> hedgeable;
   };
 
   Impl(SchedulerOptions o, std::uint64_t seed) : options(o), random(seed) {}
