--- a/src/layers/agent_server.h
+++ b/src/layers/agent_server.h
@@ -17,7 +17,7 @@
   bool listen(const io::Address& at) { return server_.listen(at); }
   io::Address address() const { return server_.address(); }
   void drain() { server_.drain(); }
-  std::size_t owed() const { return server_.unanswered(); }
+  std::size_t unanswered() const { return server_.unanswered(); }
 
   void on_request(http::Server::Ticket ticket, http::Request request) override;
   void on_client_disconnected(http::Server::Ticket ticket) override;
--- a/tests/layers/agent_test.cpp
+++ b/tests/layers/agent_test.cpp
@@ -342,7 +342,7 @@
   const auto second = publish("decoder", random_bytes(kSize, 2));
   start();
   ASSERT_TRUE(run(request("decoder")));
-  Manifest old;  // unused
+  Manifest old;
   release = 0;
   publish("decoder", random_bytes(kSize, 1));
   agent->poll_tag("decoder");
