--- a/src/layers/agent.cpp
+++ b/src/layers/agent.cpp
@@ -159,14 +159,14 @@
   PendingRequest& pending = pending_[ticket];
   pending.request = std::move(request), pending.done = std::move(done);
   if (too_many_workers || pending_.size() > options_.max_requests) {
-    reject(ticket, {SnapshotError::Kind::kBusy, "too many workers or pending requests"});
+    reject(ticket, {SnapshotError::Kind::kBusy, "too many workers wait for versions"});
     return ticket;
   }
   Function* f = function(name);
   if (!f) {
     const bool known = valid_repository(options_.prefix + name);
     reject(ticket, {known ? SnapshotError::Kind::kBusy : SnapshotError::Kind::kInvalid,
-                    known ? "the limit of functions is reached" : "invalid function name: " + name});
+                    known ? "more functions than the agent may know" : "no name of a function: " + name});
     return ticket;
   }
   mark_used(*f);
@@ -394,7 +394,7 @@
     return fail_version(
         v.name, {SnapshotError::Kind::kNoSpace, "the disk holds " + std::to_string(cache_.capacity() >> 20) +
                                                     " MiB of chunks, and " + std::to_string(lacking >> 10) +
-                                                    " KiB more do not fit beside the chunks in use"});
+                                                    " KiB more do not fit beside what is in use"});
   const Level level = level_of(v);
   const VersionName name = v.name;
   seen.clear();
@@ -456,7 +456,7 @@
     pending_.erase(it);
     if (pins_.size() >= options_.max_pins) {
       ++counters_.refused;
-      pending.done(std::nullopt, {SnapshotError::Kind::kBusy, "the limit of pins is reached"});
+      pending.done(std::nullopt, {SnapshotError::Kind::kBusy, "more pins than the agent keeps"});
       continue;
     }
     pins_[ticket] = {pending.request.worker, name};
@@ -593,7 +593,7 @@
   const Time now = host_.now();
   for (const std::uint64_t id : std::exchange(rejected_jobs_, {}))
     if (jobs_.contains(id))
-      job_failed(id, {SnapshotError::Kind::kBusy, "the limit of waiting fetches is reached"});
+      job_failed(id, {SnapshotError::Kind::kBusy, "more fetches wait than the agent keeps"});
   while (const auto start = scheduler_.next(now)) {
     Job& job = jobs_.at(start->id);
     StoreRequest request = job.request;
@@ -707,7 +707,7 @@
   job.fetched = true;
   const auto to_evict = cache_.begin_write(job.key, job.chunk.size);
   if (!to_evict)
-    return job_failed(id, {SnapshotError::Kind::kNoSpace, "the cache capacity is taken by chunks in use"});
+    return job_failed(id, {SnapshotError::Kind::kNoSpace, "the disk's bound is reached by what is in use"});
   for (const Key& key : *to_evict) disk_.remove(key);
   disk_.write(job.key, job.chunk, std::move(frame),
               [this, id, alive = alive_](DiskStatus end, const std::string& why) {
@@ -724,7 +724,7 @@
                 job_failed(id, {full  ? SnapshotError::Kind::kNoSpace
                                 : bad ? SnapshotError::Kind::kInvalid
                                       : SnapshotError::Kind::kStoreFailed,
-                                (bad ? "invalid published layer: " : "disk: ") + why});
+                                (bad ? "it was published wrongly: " : "the disk: ") + why});
               });
 }
 
--- a/src/layers/agent_server.cpp
+++ b/src/layers/agent_server.cpp
@@ -99,10 +99,10 @@
 
 void AgentServer::on_request(http::Server::Ticket ticket, http::Request request) {
   const auto target = http::split_target(request.target);
-  if (!target) return respond_problem(ticket, 400, "invalid request target");
+  if (!target) return respond_problem(ticket, 400, "the target is no path, or is badly encoded");
   const auto& path = target->path;
   const std::string& method = request.method;
-  if (path.size() < 2 || path[0] != "v1") return respond_problem(ticket, 404, "no such resource");
+  if (path.size() < 2 || path[0] != "v1") return respond_problem(ticket, 404, "nothing is here");
   if (path[1] == "pins" && path.size() == 2 && method == "POST") return handle_pin(ticket, request);
   if (path[1] == "pins" && path.size() == 3 && method == "DELETE") {
     std::uint64_t id = 0;
@@ -124,23 +124,23 @@
     return respond(ticket, 202, "");
   }
   if (path[1] == "state" && path.size() == 2 && method == "GET") return respond(ticket, 200, state());
-  respond_problem(ticket, 404, "no such resource");
+  respond_problem(ticket, 404, "nothing is here");
 }
 
 void AgentServer::handle_pin(http::Server::Ticket ticket, const http::Request& request) {
   const json doc = json::parse(request.body, nullptr, false);
-  if (!doc.is_object()) return respond_problem(ticket, 400, "the body is not a JSON object");
+  if (!doc.is_object()) return respond_problem(ticket, 400, "the body is no JSON object");
   SnapshotRequest snapshot_request;
   const auto worker = text(doc, "worker"), incarnation = text(doc, "life"), function = text(doc, "function");
   if (!worker || !incarnation || !function)
-    return respond_problem(ticket, 400, "worker, life and function must be strings of 1 to 255 bytes");
+    return respond_problem(ticket, 400, "texts worker, life and function of 1 to 255 bytes are needed");
   snapshot_request.worker = *worker, snapshot_request.incarnation = *incarnation,
   snapshot_request.function = *function;
   if (doc.contains("version")) {
     const auto name = text(doc, "version");
     snapshot_request.version = name ? parse_digest(*name) : std::nullopt;
     if (!snapshot_request.version)
-      return respond_problem(ticket, 400, "version is not a digest: expected sha256: and 64 hex digits");
+      return respond_problem(ticket, 400, "version is no digest: expected sha256: and 64 hex digits");
   }
   if (doc.contains("for")) {
     const auto name = text(doc, "for");
--- a/src/layers/client.cpp
+++ b/src/layers/client.cpp
@@ -35,10 +35,10 @@
 }
 
 std::string detail_of(const http::Exchange::Result& r) {
-  if (r.status == 0) return "layer agent: " + r.why;
+  if (r.status == 0) return "the box agent: " + r.why;
   const json doc = json::parse(r.body, nullptr, false);
   if (doc.is_object() && doc.contains("detail") && doc["detail"].is_string()) return doc["detail"];
-  return "layer agent answered with status " + std::to_string(r.status);
+  return "the box agent answered with status " + std::to_string(r.status);
 }
 
 }  // namespace
@@ -78,7 +78,7 @@
   send(std::move(request), timeout, [done = std::move(done)](const http::Exchange::Result& r) {
     if (r.status != 200) return done(std::nullopt, detail_of(r));
     auto snapshot = parse_snapshot(r.body);
-    done(snapshot, snapshot ? "" : "invalid answer of the layer agent");
+    done(snapshot, snapshot ? "" : "the box agent's answer cannot be read");
   });
 }
 
--- a/src/layers/files.cpp
+++ b/src/layers/files.cpp
@@ -114,7 +114,8 @@
     enqueue([this, key, content, done = std::move(done)] {
       const bool well = digest_of_file(path(key)) == content;
       post_result([well, done] {
-        done(well ? DiskStatus::kOk : DiskStatus::kCorrupt, well ? "" : "the file does not match its digest");
+        done(well ? DiskStatus::kOk : DiskStatus::kCorrupt,
+             well ? "" : "the file is not what its digest says");
       });
     });
   }
--- a/src/layers/memory_disk.cpp
+++ b/src/layers/memory_disk.cpp
@@ -74,7 +74,7 @@
   enqueue([this, key, content, done = std::move(done)] {
     const auto it = files_.files.find(key);
     const bool well = it != files_.files.end() && digest_of(it->second) == content;
-    done(well ? DiskStatus::kOk : DiskStatus::kCorrupt, well ? "" : "the file does not match its digest");
+    done(well ? DiskStatus::kOk : DiskStatus::kCorrupt, well ? "" : "the file is not what its digest says");
   });
 }
 
--- a/src/layers/remote.cpp
+++ b/src/layers/remote.cpp
@@ -129,7 +129,7 @@
         range_matches(result.headers.find("Content-Range"), out.request.offset, out.request.size) &&
         result.body.size() == out.request.size;
     response.end = matches ? FetchOutcome::kOk : FetchOutcome::kBroken;
-    if (!matches) response.why = "Content-Range differs from the requested range";
+    if (!matches) response.why = "another range than was asked for";
   } else if (status == 200) {
     response.why = "the store ignores Range";
   } else if (status == 429 || status == 503) {
