--- a/src/controller/gateway.h
+++ b/src/controller/gateway.h
@@ -25,7 +25,7 @@
 class Gateway : public CoreEvents {
  public:
   Gateway(io::Host& host, std::shared_ptr<const config::Settings> settings, GatewayEvents& events,
-          std::uint64_t seed, std::uint32_t first_request_id = 1, ledger::Book* book = nullptr);
+          std::uint64_t seed, std::uint32_t first_request_id = 1, ledger::CallLedger* book = nullptr);
   ~Gateway() override;
 
   // Applies the worker list that an earlier process stored; call it before start().
@@ -59,7 +59,7 @@
   io::Host& host_;
   std::shared_ptr<const config::Settings> settings_;
   GatewayEvents& events_;
-  ledger::Book* book_;  // outlives the gateway; null: nothing is persisted
+  ledger::CallLedger* book_;  // outlives the gateway; null: nothing is persisted
   Core core_;
   std::vector<std::unique_ptr<TriggerFront>> fronts_;
   std::vector<std::unique_ptr<TriggerFront>> draining_fronts_;  // of brokers that a reload removed
--- a/src/controller/intake.h
+++ b/src/controller/intake.h
@@ -13,7 +13,7 @@
 //   acknowledgement not  |                    |            |
 //   confirmed            |                    |            |
 //   unknown              | any                | any        | as the ledger rules on its record from before
-//                        |                    |            | a restart (ledger/ruling.h); without a record:
+//                        |                    |            | a restart (ledger/recovery.h); without one:
 //                        |                    |            | run if not redelivered or safe to repeat, else
 //                        |                    |            | fail
 //
@@ -33,7 +33,7 @@
 #include <vector>
 
 #include "controller/core.h"
-#include "ledger/book.h"
+#include "ledger/call_ledger.h"
 
 namespace laureltide::controller {
 
@@ -48,9 +48,9 @@
   struct Options {
     std::size_t max_names = 100'000;
     Duration answer_ttl = std::chrono::seconds(120);
-    std::size_t max_joined = 16;   // messages that wait for one call; further ones are refused
-    ledger::Book* book = nullptr;  // null: nothing is known from before a restart
-    std::string front;             // this queue's name in the ledger
+    std::size_t max_joined = 16;         // messages that wait for one call; further ones are refused
+    ledger::CallLedger* book = nullptr;  // null: nothing is known from before a restart
+    std::string front;                   // this queue's name in the ledger
   };
   explicit Intake(Options options) : options_(std::move(options)) {}
 
--- a/src/controller/peers.cpp
+++ b/src/controller/peers.cpp
@@ -24,7 +24,7 @@
     }
     return used;
   }
-  void on_closed(io::Closed) override { remove_self(); }
+  void on_closed(io::CloseReason) override { remove_self(); }
 
  private:
   void remove_self() {
@@ -32,7 +32,7 @@
     if (it == owner_.inbound_.end()) return;
     auto self = std::move(it->second);
     owner_.inbound_.erase(it);
-    owner_.closed_.bury(std::move(self));
+    owner_.closed_.delete_later(std::move(self));
   }
   Peers& owner_;
   std::unique_ptr<io::Connection> connection_;
@@ -46,7 +46,7 @@
     if (connection_->unsent() < kMaxUnsentBytes) connection_->write(bytes);
   }
   std::size_t on_bytes(std::string_view bytes) override { return bytes.size(); }
-  void on_closed(io::Closed) override { connection_.reset(); }  // the next message reconnects
+  void on_closed(io::CloseReason) override { connection_.reset(); }  // the next message reconnects
 
  private:
   io::Host& host_;
--- a/src/controller/peers.h
+++ b/src/controller/peers.h
@@ -36,7 +36,7 @@
   bool listen_configured_ = false;
   std::map<std::uint32_t, std::unique_ptr<Outbound>> outbound_;
   std::map<Inbound*, std::unique_ptr<Inbound>> inbound_;
-  io::Graveyard<Inbound> closed_;
+  io::DeferredDeleter<Inbound> closed_;
   std::unique_ptr<io::Listener> listener_;
 };
 
--- a/src/layers/client.cpp
+++ b/src/layers/client.cpp
@@ -63,7 +63,7 @@
   const std::uint64_t id = next_++;
   in_flight_[id] = std::make_unique<http::Exchange>(
       host_, agent_, request, timeout, limits, [this, id, done = std::move(done)](http::Exchange::Result r) {
-        retired_.bury(std::move(in_flight_.at(id)));
+        retired_.delete_later(std::move(in_flight_.at(id)));
         in_flight_.erase(id);
         done(std::move(r));
       });
--- a/src/layers/client.h
+++ b/src/layers/client.h
@@ -39,7 +39,7 @@
   io::Address agent_;
   std::string worker_, incarnation_;
   std::map<std::uint64_t, std::unique_ptr<http::Exchange>> in_flight_;
-  io::Graveyard<http::Exchange> retired_;
+  io::DeferredDeleter<http::Exchange> retired_;
   std::uint64_t next_ = 1, sequence_ = 0;
   std::unique_ptr<io::Timer> lease_timer_, poll_timer_;
   std::function<void(const std::vector<ReleaseStatus>&)> on_releases_;
--- a/src/layers/files.cpp
+++ b/src/layers/files.cpp
@@ -136,8 +136,8 @@
   }
 
   // A failed index write only costs the cached chunks after a restart.
-  void on_trouble(const std::string&, bool) override {}
-  void on_well() override {}
+  void on_write_failed(const std::string&, bool) override {}
+  void on_write_recovered() override {}
   void on_durable(std::size_t) override {}
 
  private:
--- a/src/layers/remote.cpp
+++ b/src/layers/remote.cpp
@@ -67,7 +67,7 @@
   const auto it = in_flight_.find(ticket);
   if (it == in_flight_.end()) return;
   it->second->exchange.reset();  // closes the connection at once, so that the store stops sending
-  retired_.bury(std::move(it->second));
+  retired_.delete_later(std::move(it->second));
   in_flight_.erase(it);
 }
 
@@ -114,7 +114,7 @@
       // The old exchange is still on the call stack, so its deletion is deferred.
       auto retired = std::make_unique<InFlight>();
       retired->exchange = std::move(*old);
-      return retired_.bury(std::move(retired));
+      return retired_.delete_later(std::move(retired));
     }
   }
   StoreResponse response;
@@ -143,7 +143,7 @@
   }
   if (response.end == FetchOutcome::kOk) response.bytes = std::move(result.body);
   const Done done = std::move(out.done);
-  retired_.bury(std::move(it->second));
+  retired_.delete_later(std::move(it->second));
   in_flight_.erase(it);
   done(std::move(response));
 }
--- a/src/layers/remote.h
+++ b/src/layers/remote.h
@@ -61,7 +61,7 @@
   io::Host& host_;
   RegistryClientOptions options_;
   std::map<std::uint64_t, std::unique_ptr<InFlight>> in_flight_;
-  io::Graveyard<InFlight> retired_;
+  io::DeferredDeleter<InFlight> retired_;
   std::uint64_t next_ = 1;
 };
 
--- a/src/sim/network.h
+++ b/src/sim/network.h
@@ -84,7 +84,7 @@
   // Passes the bytes that have arrived at this end to its owner.
   void deliver(const std::shared_ptr<Link>& link, int receiver);
   // Closes the link and notifies one end of it.
-  void close(const std::shared_ptr<Link>& link, int notified_end, io::Closed reason);
+  void close(const std::shared_ptr<Link>& link, int notified_end, io::CloseReason reason);
 
   NetworkOptions options_;
   Time now_{};
