--- a/src/standin/broker.cpp
+++ b/src/standin/broker.cpp
@@ -33,7 +33,7 @@
 
   Connection(Broker& broker, std::unique_ptr<io::Connection> stream)
       : broker_(broker), endpoint_(broker.host_, Endpoint::Role::kServer, endpoint_options(broker), *this) {
-    endpoint_.attach(std::make_unique<Muzzle>(std::move(stream), *this));
+    endpoint_.attach(std::make_unique<PausableConnection>(std::move(stream), *this));
   }
   ~Connection() override { release(); }
 
@@ -43,9 +43,9 @@
     const auto it = channels_.find(number);
     return it == channels_.end() ? nullptr : &it->second;
   }
-  void set_writing_paused(bool mute) {
-    mute_ = mute;
-    if (!mute && !held_.empty()) stream_->write(std::exchange(held_, {}));
+  void set_writing_paused(bool paused) {
+    writing_paused_ = paused;
+    if (!paused && !unsent_.empty()) stream_->write(std::exchange(unsent_, {}));
   }
   void abort() { leave("broken by order"); }
   void close_channels(ReplyCode code, const std::string& text) {
@@ -96,7 +96,7 @@
     for (auto& [number, c] : channels_)
       for (auto& [tag, consumer] : c.consumers)
         if (auto q = broker_.queues_.find(consumer->queue); q != broker_.queues_.end())
-          broker_.pump(q->second);
+          broker_.deliver_ready(q->second);
   }
   void on_ended(const std::string& why) override { leave(why); }
   void on_method(std::uint16_t number, const Method& method) override {
@@ -117,18 +117,18 @@
   }
 
  private:
-  // Holds back what is written while the broker is to be mute.
-  class Muzzle : public io::Connection {
+  // Buffers what the broker writes while writing is paused.
+  class PausableConnection : public io::Connection {
    public:
-    Muzzle(std::unique_ptr<io::Connection> inner, Broker::Connection& owner)
+    PausableConnection(std::unique_ptr<io::Connection> inner, Broker::Connection& owner)
         : inner_(std::move(inner)), owner_(owner) {
       owner_.stream_ = inner_.get();
     }
-    ~Muzzle() override { owner_.stream_ = nullptr; }
+    ~PausableConnection() override { owner_.stream_ = nullptr; }
     void write(std::string_view bytes) override {
-      owner_.mute_ ? void(owner_.held_ += bytes) : inner_->write(bytes);
+      owner_.writing_paused_ ? void(owner_.unsent_ += bytes) : inner_->write(bytes);
     }
-    std::size_t unsent() const override { return inner_->unsent() + owner_.held_.size(); }
+    std::size_t unsent() const override { return inner_->unsent() + owner_.unsent_.size(); }
     void read(bool enabled) override { inner_->read(enabled); }
     void finish() override { inner_->finish(); }
 
@@ -163,17 +163,17 @@
     channels_.erase(it);
     drop_channel(gone);
   }
-  // What was not acknowledged goes back, in its old place (2.1: redelivered).
+  // Requeues unacknowledged messages in their old position, marked as redelivered (2.1).
   void drop_channel(Channel& c) {
     for (auto& [tag, consumer] : c.consumers) broker_.remove_consumer(consumer);
     c.consumers.clear();
-    for (auto& [tag, u] : std::exchange(c.unacked, {})) give_back(u);
+    for (auto& [tag, u] : std::exchange(c.unacked, {})) requeue(u);
   }
-  void give_back(Unacked& u) {
-    taken_back(u);
+  void requeue(Unacked& u) {
+    forget_delivery(u);
     broker_.requeue(u.queue, std::move(u.entry));
   }
-  void taken_back(const Unacked& u) {
+  void forget_delivery(const Unacked& u) {
     if (u.consumer && u.consumer->unacked > 0) --u.consumer->unacked;
     if (auto q = broker_.queues_.find(u.queue); q != broker_.queues_.end()) --q->second.unacked;
   }
@@ -194,7 +194,7 @@
     broker_.dead_.bury(std::move(self));
   }
 
-  Queue* usable(std::uint16_t number, const std::string& name) {
+  Queue* find_queue(std::uint16_t number, const std::string& name) {
     const auto it = broker_.queues_.find(name);
     if (it == broker_.queues_.end())
       return channel_error(number, ReplyCode::kNotFound, "no queue '" + name + "' in vhost"), nullptr;
@@ -250,7 +250,7 @@
       q.name = name, q.durable = m.durable, q.exclusive = m.exclusive, q.auto_delete = m.auto_delete;
       if (m.exclusive) q.owner = this;
     } else {
-      Queue* q = usable(n, name);
+      Queue* q = find_queue(n, name);
       if (!q) return;
       if (!m.passive &&
           (q->durable != m.durable || q->exclusive != m.exclusive || q->auto_delete != m.auto_delete))
@@ -262,15 +262,17 @@
       endpoint_.send(n, QueueDeclareOk{name, static_cast<std::uint32_t>(q.ready.size()),
                                        static_cast<std::uint32_t>(q.consumers.size())});
   }
-  const std::string& or_last(const std::string& queue) const { return queue.empty() ? last_queue_ : queue; }
+  const std::string& or_last_declared(const std::string& queue) const {
+    return queue.empty() ? last_queue_ : queue;
+  }
   void on(std::uint16_t n, Channel&, const QueueBind& m) {
-    if (!usable(n, or_last(m.queue))) return;
+    if (!find_queue(n, or_last_declared(m.queue))) return;
     const auto e = broker_.exchanges_.find(m.exchange);
     if (e == broker_.exchanges_.end())
       return channel_error(n, ReplyCode::kNotFound, "no exchange '" + m.exchange + "'");
     if (m.exchange.empty())
       return channel_error(n, ReplyCode::kAccessRefused, "the default exchange takes no bindings");
-    Binding b{or_last(m.queue), m.routing_key, m.arguments};
+    Binding b{or_last_declared(m.queue), m.routing_key, m.arguments};
     auto& all = e->second.bindings;
     if (std::find(all.begin(), all.end(), b) == all.end()) all.push_back(std::move(b));
     if (!m.no_wait) endpoint_.send(n, QueueBindOk{});
@@ -278,21 +280,21 @@
   void on(std::uint16_t n, Channel&, const QueueUnbind& m) {
     const auto e = broker_.exchanges_.find(m.exchange);
     if (e != broker_.exchanges_.end())
-      std::erase(e->second.bindings, Binding{or_last(m.queue), m.routing_key, m.arguments});
+      std::erase(e->second.bindings, Binding{or_last_declared(m.queue), m.routing_key, m.arguments});
     endpoint_.send(n, QueueUnbindOk{});
   }
   void on(std::uint16_t n, Channel&, const QueuePurge& m) {
-    Queue* q = usable(n, or_last(m.queue));
+    Queue* q = find_queue(n, or_last_declared(m.queue));
     if (!q) return;
     const auto count = static_cast<std::uint32_t>(q->ready.size());
     q->ready.clear();
     if (!m.no_wait) endpoint_.send(n, QueuePurgeOk{count});
   }
   void on(std::uint16_t n, Channel&, const QueueDelete& m) {
-    const std::string name = or_last(m.queue);
+    const std::string name = or_last_declared(m.queue);
     std::uint32_t count = 0;
-    if (broker_.queues_.contains(name)) {  // deleting what is not there succeeds
-      Queue* q = usable(n, name);
+    if (broker_.queues_.contains(name)) {  // deleting an unknown queue succeeds
+      Queue* q = find_queue(n, name);
       if (!q) return;
       count = static_cast<std::uint32_t>(q->ready.size());
       if ((m.if_unused && !q->consumers.empty()) || (m.if_empty && count > 0))
@@ -308,8 +310,8 @@
     endpoint_.send(n, BasicQosOk{});
   }
   void on(std::uint16_t n, Channel& c, const BasicConsume& m) {
-    const std::string name = or_last(m.queue);
-    Queue* q = usable(n, name);
+    const std::string name = or_last_declared(m.queue);
+    Queue* q = find_queue(n, name);
     if (!q) return;
     const std::string tag =
         m.consumer_tag.empty() ? "ctag-" + std::to_string(++broker_.generated_) : m.consumer_tag;
@@ -326,7 +328,7 @@
     q->consumers.push_back(consumer);
     q->had_consumers = true;
     if (!m.no_wait) endpoint_.send(n, BasicConsumeOk{tag});
-    broker_.pump(*q);
+    broker_.deliver_ready(*q);
   }
   void on(std::uint16_t n, Channel& c, const BasicCancel& m) {
     if (const auto it = c.consumers.find(m.consumer_tag); it != c.consumers.end()) {
@@ -337,7 +339,7 @@
     if (!m.no_wait) endpoint_.send(n, BasicCancelOk{m.consumer_tag});
   }
   void on(std::uint16_t n, Channel& c, const BasicGet& m) {
-    Queue* q = usable(n, or_last(m.queue));
+    Queue* q = find_queue(n, or_last_declared(m.queue));
     if (!q) return;
     while (!q->ready.empty()) {
       Entry entry = std::move(q->ready.begin()->second);
@@ -351,17 +353,17 @@
     }
     endpoint_.send(n, BasicGetEmpty{});
   }
-  void on(std::uint16_t n, Channel& c, const BasicAck& m) { settle_or_keep(n, c, m); }
-  void on(std::uint16_t n, Channel& c, const BasicNack& m) { settle_or_keep(n, c, m); }
+  void on(std::uint16_t n, Channel& c, const BasicAck& m) { settle_or_defer(n, c, m); }
+  void on(std::uint16_t n, Channel& c, const BasicNack& m) { settle_or_defer(n, c, m); }
   void on(std::uint16_t n, Channel& c, const BasicReject& m) {
-    settle_or_keep(n, c, BasicNack{m.delivery_tag, false, m.requeue});
+    settle_or_defer(n, c, BasicNack{m.delivery_tag, false, m.requeue});
   }
   void on(std::uint16_t n, Channel& c, const BasicRecover& m) {
     recover(c, m.requeue), endpoint_.send(n, BasicRecoverOk{});
   }
   void on(std::uint16_t, Channel& c, const BasicRecoverAsync& m) { recover(c, m.requeue); }
   void recover(Channel& c, bool) {
-    for (auto& [tag, u] : std::exchange(c.unacked, {})) give_back(u);
+    for (auto& [tag, u] : std::exchange(c.unacked, {})) requeue(u);
   }
   void on(std::uint16_t n, Channel& c, const ConfirmSelect& m) {
     if (c.transacted) return channel_error(n, ReplyCode::kPreconditionFailed, "the channel is transactional");
@@ -376,15 +378,15 @@
   void on(std::uint16_t n, Channel& c, const TxCommit&) {
     if (!c.transacted)
       return channel_error(n, ReplyCode::kPreconditionFailed, "the channel is not transactional");
-    if (broker_.lose_commit_ > 0) return --broker_.lose_commit_, abort();
+    if (broker_.commits_to_drop_ > 0) return --broker_.commits_to_drop_, abort();
     const auto operations = std::exchange(c.transaction, {});
     for (const Operation& o : operations)
       if (o.settle) {
         if (!settle(n, c, *o.settle)) return;
       } else {
-        place(n, o.publish, o.mandatory);
+        route_or_return(n, o.publish, o.mandatory);
       }
-    if (broker_.lose_commit_ok_ > 0) return --broker_.lose_commit_ok_, abort();
+    if (broker_.commit_replies_to_drop_ > 0) return --broker_.commit_replies_to_drop_, abort();
     endpoint_.send(n, TxCommitOk{});
   }
   void on(std::uint16_t n, Channel& c, const TxRollback&) {
@@ -394,13 +396,13 @@
     endpoint_.send(n, TxRollbackOk{});
   }
 
-  void settle_or_keep(std::uint16_t n, Channel& c, const Method& method) {
+  void settle_or_defer(std::uint16_t n, Channel& c, const Method& method) {
     if (c.transacted)
       c.transaction.push_back({nullptr, false, method});
     else
       settle(n, c, method);
   }
-  // Acknowledges or gives back; false if the channel had to be closed.
+  // Acknowledges or requeues; false if the channel had to be closed.
   bool settle(std::uint16_t n, Channel& c, const Method& method) {
     const auto* ack = std::get_if<BasicAck>(&method);
     const auto* nack = std::get_if<BasicNack>(&method);
@@ -417,16 +419,16 @@
     for (Unacked& u : settled) {
       queues.insert(u.queue);
       if (nack && nack->requeue) {
-        give_back(u);
+        requeue(u);
         continue;
       }
-      taken_back(u);
+      forget_delivery(u);
       broker_.tape_.note(
           broker_.host_.now(), "acked",
           {{"by", name_}, {"queue", u.queue}, {"call", u.entry.message->properties.message_id.value_or("")}});
     }
     for (const std::string& q : queues)
-      if (auto it = broker_.queues_.find(q); it != broker_.queues_.end()) broker_.pump(it->second);
+      if (auto it = broker_.queues_.find(q); it != broker_.queues_.end()) broker_.deliver_ready(it->second);
     return true;
   }
 
@@ -446,10 +448,10 @@
     message->exchange = m.exchange, message->routing_key = m.routing_key;
     message->properties = std::move(content.properties), message->body = std::move(content.body);
     if (c.transacted) return c.transaction.push_back({std::move(message), m.mandatory, std::nullopt});
-    place(n, std::move(message), m.mandatory);
+    route_or_return(n, std::move(message), m.mandatory);
     if (c.confirms) endpoint_.send(n, BasicAck{++c.published, false});
   }
-  void place(std::uint16_t n, std::shared_ptr<const Message> message, bool mandatory) {
+  void route_or_return(std::uint16_t n, std::shared_ptr<const Message> message, bool mandatory) {
     if (broker_.publish(message, name_) || !mandatory) return;
     endpoint_.send_content(n,
                            BasicReturn{static_cast<std::uint16_t>(ReplyCode::kNoRoute), "NO_ROUTE",
@@ -459,8 +461,8 @@
 
   Broker& broker_;
   io::Connection* stream_ = nullptr;
-  bool mute_ = false, left_ = false;
-  std::string held_;
+  bool writing_paused_ = false, left_ = false;
+  std::string unsent_;
   Endpoint endpoint_;
   std::string name_, last_queue_;
   std::map<std::uint16_t, Channel> channels_;
@@ -557,16 +559,16 @@
     Queue& q = queues_.at(name);
     const std::uint64_t position = q.next_position++;
     q.ready[position] = {message, false, expires, position};
-    pump(q);
+    deliver_ready(q);
   }
   return !to.empty();
 }
 
 // ---- Queues ---------------------------------------------------------------------------------------------
 
-void Broker::pump(Queue& queue) {
-  if (std::exchange(queue.pumping, true)) return;  // a delivery may lead back here
-  constexpr std::size_t kMostUnsent = 4U << 20;    // a consumer that does not read gets no more for now
+void Broker::deliver_ready(Queue& queue) {
+  if (std::exchange(queue.delivering, true)) return;  // a delivery may call this again
+  constexpr std::size_t kMostUnsent = 4U << 20;       // limit for consumers that do not read
   while (!queue.ready.empty() && !queue.consumers.empty()) {
     std::shared_ptr<Consumer> free;
     for (std::size_t i = 0; i < queue.consumers.size() && !free; ++i) {
@@ -590,7 +592,7 @@
     queue.ready.erase(queue.ready.begin());
     free->connection->deliver(*free, std::move(entry), free);
   }
-  queue.pumping = false;
+  queue.delivering = false;
 }
 
 void Broker::requeue(const std::string& name, Entry entry) {
@@ -599,9 +601,9 @@
   entry.redelivered = true;
   const std::uint64_t position = entry.position;
   it->second.ready[position] = std::move(entry);
-  // Not from within: the consumer that gave it back may still be on its way out.
-  if (given_back_.empty()) give_again_->start(Duration(0));
-  given_back_.insert(name);
+  // Delivered from a timer: the consumer that returned it may still be closing.
+  if (requeued_.empty()) redelivery_timer_->start(Duration(0));
+  requeued_.insert(name);
 }
 
 void Broker::remove_queue(const std::string& name) {
@@ -627,9 +629,13 @@
 // ---- The broker -----------------------------------------------------------------------------------------
 
 Broker::Broker(io::Host& host, BrokerOptions options, Tape& tape)
-    : host_(host), options_(std::move(options)), tape_(tape), dead_(host), give_again_(host.timer([this] {
-        for (const std::string& name : std::exchange(given_back_, {}))
-          if (auto q = queues_.find(name); q != queues_.end()) pump(q->second);
+    : host_(host),
+      options_(std::move(options)),
+      tape_(tape),
+      dead_(host),
+      redelivery_timer_(host.timer([this] {
+        for (const std::string& name : std::exchange(requeued_, {}))
+          if (auto q = queues_.find(name); q != queues_.end()) deliver_ready(q->second);
       })) {
   exchanges_[""] = {"direct", true, {}};
   for (const char* type : {"direct", "fanout", "topic", "headers"})
@@ -673,7 +679,7 @@
 }
 
 template <class F>
-void Broker::each(const std::string& who, F what) {
+void Broker::for_each_connection(const std::string& who, F what) {
   std::vector<Connection*> all;
   for (const auto& [raw, c] : connections_)
     if (who.empty() || c->name() == who) all.push_back(raw);
@@ -694,23 +700,23 @@
 }
 
 void Broker::break_connections(const std::string& who) {
-  each(who, [](Connection& c) { c.abort(); });
+  for_each_connection(who, [](Connection& c) { c.abort(); });
 }
-void Broker::set_reading_paused(bool deaf, const std::string& who) {
-  tape_.note(host_.now(), "deaf", {{"on", deaf}, {"who", who}});
-  each(who, [&](Connection& c) { c.endpoint().read(!deaf); });
+void Broker::set_reading_paused(bool paused, const std::string& who) {
+  tape_.note(host_.now(), "deaf", {{"on", paused}, {"who", who}});
+  for_each_connection(who, [&](Connection& c) { c.endpoint().read(!paused); });
 }
-void Broker::set_writing_paused(bool mute, const std::string& who) {
-  each(who, [&](Connection& c) { c.set_writing_paused(mute); });
+void Broker::set_writing_paused(bool paused, const std::string& who) {
+  for_each_connection(who, [&](Connection& c) { c.set_writing_paused(paused); });
 }
 void Broker::close_channels(ReplyCode code, const std::string& text, const std::string& who) {
-  each(who, [&](Connection& c) { c.close_channels(code, text); });
+  for_each_connection(who, [&](Connection& c) { c.close_channels(code, text); });
 }
 void Broker::cancel_consumers(const std::string& who) {
-  each(who, [](Connection& c) { c.cancel_consumers(); });
+  for_each_connection(who, [](Connection& c) { c.cancel_consumers(); });
 }
 void Broker::set_flow(bool active) {
-  each("", [&](Connection& c) { c.set_flow(active); });
+  for_each_connection("", [&](Connection& c) { c.set_flow(active); });
 }
 
 }  // namespace laureltide::standin
--- a/src/standin/broker.h
+++ b/src/standin/broker.h
@@ -1,8 +1,8 @@
 // A stand-in for an AMQP 0-9-1 broker, written from the public specification: exchanges of the four types,
 // bindings, queues with expiration and redelivery, consumers with prefetch, acknowledgements, transactions,
-// confirms, returns. It keeps everything in memory and forgets it with the process.
+// confirms, returns. It keeps everything in memory.
 //
-// Faults are ordered through its methods, by a script or a test.
+// Scripts and tests inject faults through its methods.
 #pragma once
 
 #include <deque>
@@ -38,18 +38,20 @@
 
   // ---- Faults. `who` is a client's connection_name; empty: all. ----
   void break_connections(const std::string& who = "");
-  void set_reading_paused(bool deaf, const std::string& who = "");  // reads nothing: answers and acks pile up
-  void set_writing_paused(bool mute, const std::string& who = "");  // sends nothing, heartbeats included
+  // Reads nothing while paused: answers and acks pile up.
+  void set_reading_paused(bool paused, const std::string& who = "");
+  // Sends nothing while paused, heartbeats included.
+  void set_writing_paused(bool paused, const std::string& who = "");
   void close_channels(amqp::ReplyCode code, const std::string& text, const std::string& who = "");
   void cancel_consumers(const std::string& who = "");
-  // All connections end and nothing listens until restart(). Durable messages survive, as on a disk; what was
-  // not acknowledged, or stood in an open transaction, is given again.
+  // Ends all connections and closes the listener until restart(). Durable messages survive, as on a disk;
+  // what was not acknowledged, or was part of an open transaction, is redelivered.
   void crash();
   bool restart();
-  // Breaks the connection in place of the next n commit-ok: committed, but the client does not know.
-  void drop_commit_replies(int n) { lose_commit_ok_ = n; }
-  // Breaks the connection when the next n commits arrive, before they are done.
-  void drop_commits(int n) { lose_commit_ = n; }
+  // Commits the next n transactions, but breaks the connection instead of sending commit-ok.
+  void drop_commit_replies(int n) { commit_replies_to_drop_ = n; }
+  // Breaks the connection when the next n commits arrive, without committing.
+  void drop_commits(int n) { commits_to_drop_ = n; }
   void set_flow(bool active);
   void delete_queue(const std::string& queue) { remove_queue(queue); }
 
@@ -77,13 +79,13 @@
   struct Queue {
     std::string name;
     bool durable = false, exclusive = false, auto_delete = false, had_consumers = false;
-    const Connection* owner = nullptr;     // of an exclusive one
-    std::map<std::uint64_t, Entry> ready;  // by position, so that what comes back keeps its place
+    const Connection* owner = nullptr;     // of an exclusive queue
+    std::map<std::uint64_t, Entry> ready;  // by position, so that a requeued message keeps its place
     std::vector<std::shared_ptr<Consumer>> consumers;
     std::size_t next_consumer = 0;
     std::uint64_t next_position = 1;
     std::size_t unacked = 0;
-    bool pumping = false;
+    bool delivering = false;
   };
   struct Binding {
     std::string queue, routing_key;
@@ -98,29 +100,29 @@
 
   std::set<std::string> route(const Message& message, bool& found) const;
   bool publish(std::shared_ptr<const Message> message, const std::string& by);  // false: no queue took it
-  void pump(Queue& queue);
+  void deliver_ready(Queue& queue);
   void requeue(const std::string& queue, Entry entry);
   void remove_queue(const std::string& name);
   void remove_consumer(const std::shared_ptr<Consumer>& consumer);
   template <class F>
-  void each(const std::string& who, F what);
+  void for_each_connection(const std::string& who, F what);
 
   io::Host& host_;
   BrokerOptions options_;
   Tape& tape_;
   std::unique_ptr<io::Listener> listener_;
-  io::Address address_;  // where it listened before a crash
+  io::Address address_;  // to listen on again after a crash
   std::map<std::string, Exchange> exchanges_;
   std::map<std::string, Queue> queues_;
   std::map<Connection*, std::unique_ptr<Connection>> connections_;
   io::Graveyard<Connection> dead_;
-  std::set<std::string> given_back_;  // queues to be looked at once what is going on is over
-  std::unique_ptr<io::Timer> give_again_;
+  std::set<std::string> requeued_;  // queues to deliver from once the current callback has returned
+  std::unique_ptr<io::Timer> redelivery_timer_;
   std::uint64_t generated_ = 0;
-  int lose_commit_ok_ = 0, lose_commit_ = 0;
+  int commit_replies_to_drop_ = 0, commits_to_drop_ = 0;
 };
 
-// Topic patterns: words between dots, * for one word, # for none or more (3.1.3.3).
+// Matches a topic pattern: words between dots, * for one word, # for none or more (3.1.3.3).
 bool topic_matches(std::string_view pattern, std::string_view key);
 
 }  // namespace laureltide::standin
--- a/src/standin/caller.cpp
+++ b/src/standin/caller.cpp
@@ -9,17 +9,18 @@
       options_(std::move(options)),
       tape_(tape),
       dead_(host),
-      again_(host.timer([this] { dial(); })) {
-  again_->start(Duration(0));
+      reconnect_timer_(host.timer([this] { connect(); })) {
+  reconnect_timer_->start(Duration(0));
 }
 Caller::~Caller() = default;
 
-void Caller::dial() {
-  EndpointOptions o;
-  o.user = options_.user, o.password = options_.password, o.vhost = options_.vhost;
-  o.heartbeat_s = options_.heartbeat_s;
-  o.properties.set("connection_name", options_.name);
-  endpoint_ = std::make_unique<Endpoint>(host_, Endpoint::Role::kClient, o, *this);
+void Caller::connect() {
+  EndpointOptions endpoint_options;
+  endpoint_options.user = options_.user, endpoint_options.password = options_.password,
+  endpoint_options.vhost = options_.vhost;
+  endpoint_options.heartbeat_s = options_.heartbeat_s;
+  endpoint_options.properties.set("connection_name", options_.name);
+  endpoint_ = std::make_unique<Endpoint>(host_, Endpoint::Role::kClient, endpoint_options, *this);
   endpoint_->attach(host_.connect(options_.broker, {}, *endpoint_));
 }
 
@@ -40,7 +41,7 @@
     endpoint_->send(channel, ConfirmSelect{});
   } else if (std::holds_alternative<ConfirmSelectOk>(method)) {
     ready_ = true;
-    published_ = 0;
+    last_publish_tag_ = 0;
   } else if (const auto* ack = std::get_if<BasicAck>(&method)) {
     const auto last = unconfirmed_.upper_bound(ack->delivery_tag);
     auto first = ack->multiple ? unconfirmed_.begin() : unconfirmed_.find(ack->delivery_tag);
@@ -72,8 +73,8 @@
               {"key", c.key},
               {"patience_ms", c.patience_ms.value_or(0)},
               {"wants_answer", c.wants_answer}});
-  unconfirmed_[++published_] = c.name;
-  ++made_;
+  unconfirmed_[++last_publish_tag_] = c.name;
+  ++calls_made_;
   endpoint_->send_content(1, publish, p, c.body);
   return true;
 }
@@ -109,7 +110,7 @@
   for (const auto& [tag, name] : unconfirmed_) tape_.note(host_.now(), "unconfirmed", {{"call", name}});
   unconfirmed_.clear();
   dead_.bury(std::move(endpoint_));
-  again_->start(std::chrono::milliseconds(100));
+  reconnect_timer_->start(std::chrono::milliseconds(100));
 }
 
 }  // namespace laureltide::standin
--- a/src/standin/caller.h
+++ b/src/standin/caller.h
@@ -1,4 +1,4 @@
-// A client of the gateway, over AMQP: publishes calls and notes their answers. For days and tests.
+// A client of the gateway over AMQP, for scripted days and tests: publishes calls and records their answers.
 #pragma once
 
 #include <map>
@@ -31,12 +31,12 @@
   Caller(io::Host& host, CallerOptions options, Tape& tape);
   ~Caller() override;
 
-  // False while there is no connection: the call was not made.
+  // Publishes a call. False while there is no connection: nothing was sent.
   bool call(const CallToMake& call);
   bool ready() const { return ready_; }
   std::size_t unconfirmed() const { return unconfirmed_.size(); }
   const std::multimap<std::string, Answered>& answers() const { return answers_; }
-  std::size_t calls_made() const { return made_; }
+  std::size_t calls_made() const { return calls_made_; }
   std::function<void(const std::string& call, const Answered& answer)> on_answer;
 
   void on_ready() override;
@@ -46,17 +46,17 @@
   void on_ended(const std::string& why) override;
 
  private:
-  void dial();
+  void connect();
   io::Host& host_;
   CallerOptions options_;
   Tape& tape_;
   std::unique_ptr<amqp::Endpoint> endpoint_;
   io::Graveyard<amqp::Endpoint> dead_;
-  std::unique_ptr<io::Timer> again_;
+  std::unique_ptr<io::Timer> reconnect_timer_;
   bool ready_ = false;
-  std::uint64_t published_ = 0;
-  std::size_t made_ = 0;
-  std::map<std::uint64_t, std::string> unconfirmed_;
+  std::uint64_t last_publish_tag_ = 0;
+  std::size_t calls_made_ = 0;
+  std::map<std::uint64_t, std::string> unconfirmed_;  // names of calls by publish tag
   std::multimap<std::string, Answered> answers_;
 };
 
--- a/src/standin/day.cpp
+++ b/src/standin/day.cpp
@@ -58,36 +58,36 @@
   Table(const toml::table* table, std::string path, const std::string& file,
         std::vector<std::string>& problems)
       : table_(table), path_(std::move(path)), file_(file), problems_(problems) {}
-  double number(const char* key, double otherwise, double least = 0, double most = 1e9) {
+  double number(const char* key, double fallback, double least = 0, double most = 1e9) {
     const toml::node* n = get(key);
-    if (!n) return otherwise;
+    if (!n) return fallback;
     const auto v = n->value<double>();
     if (n->is_number() && v && std::isfinite(*v) && *v >= least && *v <= most) return *v;
     std::ostringstream range;
     range << "a number from " << least << " to " << most;
     problem(*n, key, range.str());
-    return otherwise;
+    return fallback;
   }
-  Duration span(const char* key, double scale, Duration otherwise) {
-    const double given = std::chrono::duration<double>(otherwise).count() / scale;
+  Duration span(const char* key, double scale, Duration fallback) {
+    const double given = std::chrono::duration<double>(fallback).count() / scale;
     return std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(number(key, given, 0, 1e7) * scale));
   }
-  Duration ms(const char* key, Duration otherwise) { return span(key, 1e-3, otherwise); }
-  Duration s(const char* key, Duration otherwise) { return span(key, 1, otherwise); }
-  std::string text(const char* key, std::string otherwise) {
+  Duration ms(const char* key, Duration fallback) { return span(key, 1e-3, fallback); }
+  Duration s(const char* key, Duration fallback) { return span(key, 1, fallback); }
+  std::string text(const char* key, std::string fallback) {
     const toml::node* n = get(key);
-    if (!n) return otherwise;
+    if (!n) return fallback;
     if (const auto v = n->value_exact<std::string>()) return *v;
     problem(*n, key, "a text");
-    return otherwise;
+    return fallback;
   }
-  bool flag(const char* key, bool otherwise) {
+  bool flag(const char* key, bool fallback) {
     const toml::node* n = get(key);
-    if (!n) return otherwise;
+    if (!n) return fallback;
     if (const auto v = n->value_exact<bool>()) return *v;
     problem(*n, key, "true or false");
-    return otherwise;
+    return fallback;
   }
   std::vector<std::uint32_t> numbers(const char* key) {
     std::vector<std::uint32_t> all;
@@ -195,7 +195,7 @@
   }
   x.at = t.s("at_s", 0s);
   x.length = t.s("for_s", 5s);
-  x.part = t.number("part", 0.25, 0, 1);
+  x.share = t.number("part", 0.25, 0, 1);
   x.size = t.number("size", 2, 0, 1e6);
   x.workers = t.numbers("workers");
   x.gateways = t.numbers("gateways");
@@ -203,14 +203,14 @@
   if (x.kind == TroubleKind::kClassFail && std::none_of(day.classes.begin(), day.classes.end(),
                                                         [&](auto& c) { return c.name == x.request_class; }))
     t.wrong("class", "expected the name of a [[class]] above");
-  // Who is struck, where the file does not say: the same for every program that reads the day.
+  // Draws who is affected where the file names nobody: the same in every program that reads the day.
   auto draw = [&](std::vector<std::uint32_t>& into, std::uint32_t first, std::uint32_t count) {
     if (!into.empty()) return;
     std::vector<std::uint32_t> all(count);
     for (std::uint32_t i = 0; i < count; ++i) all[i] = first + i;
     std::mt19937_64 random(day.seed * 1000003 + day.troubles.size());
     for (std::size_t i = all.size(); i > 1; --i) std::swap(all[i - 1], all[random() % i]);
-    all.resize(std::max<std::size_t>(1, static_cast<std::size_t>(std::lround(x.part * count))));
+    all.resize(std::max<std::size_t>(1, static_cast<std::size_t>(std::lround(x.share * count))));
     into = all;
   };
   draw(x.workers, 1, day.workers);
@@ -220,17 +220,17 @@
 
 }  // namespace
 
-bool Trouble::strikes(std::uint32_t worker) const {
+bool Trouble::affects(std::uint32_t worker) const {
   return std::find(workers.begin(), workers.end(), worker) != workers.end();
 }
 
 bool Day::has_successor(std::uint32_t worker) const {
   return std::any_of(troubles.begin(), troubles.end(), [&](const Trouble& t) {
-    return (t.kind == TroubleKind::kDeploy || t.kind == TroubleKind::kPreempt) && t.strikes(worker);
+    return (t.kind == TroubleKind::kDeploy || t.kind == TroubleKind::kPreempt) && t.affects(worker);
   });
 }
 
-std::optional<Duration> Day::turn(const Trouble& t, std::uint32_t worker) const {
+std::optional<Duration> Day::drain_time(const Trouble& t, std::uint32_t worker) const {
   const auto it = std::find(t.workers.begin(), t.workers.end(), worker);
   if (it == t.workers.end()) return std::nullopt;
   const auto n = static_cast<double>(it - t.workers.begin()) / static_cast<double>(t.workers.size());
@@ -323,22 +323,22 @@
   return day;
 }
 
-std::string scale_day_speed(std::string_view text, double times) {
+std::string scale_day_speed(std::string_view text, double factor) {
   toml::parse_result parsed = toml::parse(text);
   if (!parsed) return std::string(text);
   toml::table& root = parsed.table();
-  auto scale = [](toml::table* t, const char* key, double by, double otherwise) {
+  auto scale = [](toml::table* t, const char* key, double by, double fallback) {
     if (!t) return;
-    const double value = t->get(key) ? t->get(key)->value<double>().value_or(otherwise) : otherwise;
+    const double value = t->get(key) ? t->get(key)->value<double>().value_or(fallback) : fallback;
     t->insert_or_assign(key, value * by);
   };
-  scale(&root, "length_s", 1 / times, 20);
+  scale(&root, "length_s", 1 / factor, 20);
   if (!root.get("traffic")) root.insert("traffic", toml::table{});
-  scale(root.get("traffic")->as_table(), "calls_per_s", times, 50);
+  scale(root.get("traffic")->as_table(), "calls_per_s", factor, 50);
   if (toml::array* troubles = root.get("trouble") ? root.get("trouble")->as_array() : nullptr)
     for (toml::node& t : *troubles) {
-      scale(t.as_table(), "at_s", 1 / times, 0);
-      scale(t.as_table(), "for_s", 1 / times, 5);
+      scale(t.as_table(), "at_s", 1 / factor, 0);
+      scale(t.as_table(), "for_s", 1 / factor, 5);
     }
   std::ostringstream out;
   out << root;
@@ -371,12 +371,12 @@
   for (const Trouble& t : day.troubles) {
     const Duration end = t.at + t.length;
     if (successor) {
-      const auto turn = day.turn(t, id - Day::kSuccessorIdOffset);
-      if (turn && (t.kind == TroubleKind::kDeploy || t.kind == TroubleKind::kPreempt))
-        script.add(*turn, [&worker, at] { worker.start(at, true); });
+      const auto drain_at = day.drain_time(t, id - Day::kSuccessorIdOffset);
+      if (drain_at && (t.kind == TroubleKind::kDeploy || t.kind == TroubleKind::kPreempt))
+        script.add(*drain_at, [&worker, at] { worker.start(at, true); });
       continue;
     }
-    if (!t.strikes(id)) continue;
+    if (!t.affects(id)) continue;
     switch (t.kind) {
       case TroubleKind::kCrash:
       case TroubleKind::kMassRestart:
@@ -389,10 +389,10 @@
         break;
       case TroubleKind::kDeploy:
       case TroubleKind::kPreempt: {
-        // A preempted machine is gone soon after its notice; a deploy leaves time to finish.
+        // A preempted machine ends soon after its notice; a deploy leaves time to finish calls.
         const Duration notice = t.kind == TroubleKind::kPreempt ? Duration(1s) : Duration(4s);
-        script.add(*day.turn(t, id), [&worker] { worker.drain(); });
-        script.add(*day.turn(t, id) + day.list_lag + notice, [&worker] { worker.crash(); });
+        script.add(*day.drain_time(t, id), [&worker] { worker.drain(); });
+        script.add(*day.drain_time(t, id) + day.list_lag + notice, [&worker] { worker.crash(); });
         break;
       }
       case TroubleKind::kSlow:
@@ -457,7 +457,7 @@
     m.cell = "rack-" + std::to_string(old % day.racks);
     return m;
   };
-  auto born = [&list, &host, member](std::uint32_t id) {
+  auto add_started = [&list, &host, member](std::uint32_t id) {
     members::Member m = member(id);
     m.started_unix_ms = host.unix_ms();
     list.set(m);
@@ -477,19 +477,19 @@
     for (const std::uint32_t id : t.workers) {
       if (t.kind == TroubleKind::kCrash || t.kind == TroubleKind::kMassRestart ||
           t.kind == TroubleKind::kVanish) {
-        script.add(t.at + 1s, [&list, id] { list.remove(id); });  // the registry notices late
-        script.add(end + 50ms, [born, id] { born(id); });
+        script.add(t.at + 1s, [&list, id] { list.remove(id); });  // discovery notices after a second
+        script.add(end + 50ms, [add_started, id] { add_started(id); });
       } else if (t.kind == TroubleKind::kDeploy || t.kind == TroubleKind::kPreempt) {
-        const Duration turn = *day.turn(t, id);
-        script.add(turn, [&list, member, id] {
+        const Duration drain_at = *day.drain_time(t, id);
+        script.add(drain_at, [&list, member, id] {
           members::Member m = member(id);
           m.state = WorkerState::kDraining;
           list.set(m);
         });
-        script.add(turn + 50ms, [born, id] { born(id + Day::kSuccessorIdOffset); });
-        script.add(turn + 5s, [&list, id] { list.remove(id); });
+        script.add(drain_at + 50ms, [add_started, id] { add_started(id + Day::kSuccessorIdOffset); });
+        script.add(drain_at + 5s, [&list, id] { list.remove(id); });
       } else if (t.kind == TroubleKind::kListDrain) {
-        // The worker itself says nothing and would take all: only the list keeps calls away.
+        // The worker itself does not announce the drain and accepts calls: only the list says that it drains.
         script.add(t.at, [&list, member, id] {
           members::Member m = member(id);
           m.state = WorkerState::kDraining;
@@ -544,19 +544,19 @@
 
 namespace {
 
-constexpr std::size_t kBlock = 16U << 10;
+constexpr std::size_t kBlockBytes = 16U << 10;
 
-// A function's bytes in a release: each release replaces a part of the blocks of the one before.
+// A function's bytes in a release: each release replaces a share of the blocks of the release before.
 std::string content_of(const Day& day, const std::string& function, const std::vector<double>& changes) {
   std::string bytes(day.layer_kb << 10, '\0');
   const std::uint64_t seed = std::hash<std::string>{}(function) ^ day.seed;
-  for (std::size_t at = 0, block = 0; at < bytes.size(); at += kBlock, ++block) {
+  for (std::size_t at = 0, block = 0; at < bytes.size(); at += kBlockBytes, ++block) {
     std::uint64_t version = 0;
-    std::mt19937_64 fate(seed + block * 7919);
+    std::mt19937_64 random_change(seed + block * 7919);
     for (std::size_t r = 0; r < changes.size(); ++r)
-      if (static_cast<double>(fate() >> 11) * 0x1.0p-53 < changes[r]) version = r + 1;
+      if (static_cast<double>(random_change() >> 11) * 0x1.0p-53 < changes[r]) version = r + 1;
     std::mt19937_64 random(seed ^ (block << 20) ^ version);
-    for (std::size_t i = at; i < std::min(bytes.size(), at + kBlock); ++i)
+    for (std::size_t i = at; i < std::min(bytes.size(), at + kBlockBytes); ++i)
       bytes[i] = static_cast<char>(random() & 0x3f);
   }
   return bytes;
--- a/src/standin/day.h
+++ b/src/standin/day.h
@@ -1,5 +1,6 @@
-// A day for laureltide-play: a fleet, its traffic and what goes wrong, from one TOML file (docs/days.md).
-// Every stand-in reads the same file and does its own part of it, by time from the day's start.
+// A day: a scripted scenario for laureltide-play, with a fleet, its traffic and its faults, read from one
+// TOML file (docs/days.md). Every stand-in reads the same file and plays its own part, timed from the day's
+// start.
 #pragma once
 
 #include <optional>
@@ -10,7 +11,8 @@
 
 namespace laureltide::standin {
 
-// The troubles that a day can hold: those of the module's bench by their names, and some of sockets.
+// The faults that a day can schedule: those of the decision module's bench, under the same names, and faults
+// of connections.
 enum class TroubleKind {
   kAgeing,
   kBalancerCrash,
@@ -45,14 +47,14 @@
 
 struct Trouble {
   TroubleKind kind{};
-  std::string name;  // of the kind
+  std::string name;  // of the kind, as in the file
   Duration at{}, length{};
-  double part = 0.25;                  // of the workers (or gateways, or functions), where none are named
-  std::vector<std::uint32_t> workers;  // struck; drawn from the day's seed where not named
+  double share = 0.25;                 // of the workers (or gateways, or functions), where none are named
+  std::vector<std::uint32_t> workers;  // affected; drawn from the day's seed where not named
   std::vector<std::uint32_t> gateways;
-  double size = 1;  // times slower, times the rate, ms of a pause: as docs/days.md tells
+  double size = 1;  // slowdown, rate factor or pause in ms, by kind (docs/days.md)
   std::string request_class;
-  bool strikes(std::uint32_t worker) const;
+  bool affects(std::uint32_t worker) const;
 };
 
 struct DayClass {
@@ -71,7 +73,7 @@
 struct Day {
   std::string name;
   std::uint64_t seed = 1;
-  Duration length{}, settle{};  // traffic, and the time to answer all after it
+  Duration length{}, settle{};  // of the traffic, and the time after it to answer all calls
   double calls_per_s = 50;
   std::size_t body_bytes = 200;
   bool wants_keys = false;
@@ -83,46 +85,46 @@
   double memory_mb = 4096;
   std::size_t queue = 32, prefetch = 256;
   bool load_on_miss = false, confirm_mode = false;
-  std::string front = "amqp";  // that calls come by: amqp, http
-  bool deferred = false;       // HTTP: respond-async and polling
-  double repeat = 0;           // HTTP: the part of answered calls that is asked for again under its key
+  std::string front = "amqp";  // protocol of the callers: amqp, http
+  bool deferred = false;       // HTTP: Prefer: respond-async and polling
+  double repeat = 0;           // HTTP: share of the answered calls that is sent again under the same key
   bool ledger = false, acknowledge_on_take = false, sole_reader = false;
-  // Where gateway 0 kills itself, life after life: steps of the ledger, such as "attempt-durable:20".
+  // Where gateway 0 kills itself, one entry for each process: crash points such as "attempt-durable:20".
   std::vector<std::string> die_at;
   Duration keep_alive{}, list_lag{};
   // Rules.
   Duration drain_grace{}, answer_grace{}, cold_duration{}, overload_duration{}, order_window{};
   double cold_capacity_share = 1, overload_multiple = 0, order_floor = 0, orders_per_call = 0;
   std::size_t store_at_once = 8;
-  // Workers load through agents of their boxes, from an OCI store: 0: they do not.
+  // Machines whose agents load functions from an OCI store for their workers; 0: no agents.
   std::uint32_t boxes = 0;
   std::size_t layer_kb = 1024;  // of each function
-  double store_mb_per_s = 50;   // of all boxes together
+  double store_mb_per_s = 50;   // of all machines together
   std::vector<Trouble> troubles;
 
   std::string function(const DayClass& c, int i) const { return c.name + "-" + std::to_string(i); }
   WorkerOptions worker_options(std::uint32_t id) const;
-  // Successors of a rolling deploy have ids from here: old id + successor_of.
+  // In a rolling deploy the successor of a worker has the worker's id plus this.
   static constexpr std::uint32_t kSuccessorIdOffset = 1000;
   bool has_successor(std::uint32_t worker) const;
-  // When, within a deploy, this worker's turn to drain comes.
-  std::optional<Duration> turn(const Trouble& deploy, std::uint32_t worker) const;
+  // When this worker drains within a deploy.
+  std::optional<Duration> drain_time(const Trouble& deploy, std::uint32_t worker) const;
 };
 
-// Nothing, with every problem as "file:line: key: what was expected", on a bad file.
+// Returns nothing on an invalid file, with every problem as "file:line: key: what was expected".
 std::optional<Day> parse_day(std::string_view toml, const std::string& file,
                              std::vector<std::string>& problems);
-// The same day with its troubles and traffic `times` as fast; patience, work and loads stay as they are.
-std::string scale_day_speed(std::string_view toml, double times);
+// The same day with faults and traffic `factor` times as fast; timeouts, work and loads keep their length.
+std::string scale_day_speed(std::string_view toml, double factor);
 std::optional<Day> load_day(const std::string& file, std::vector<std::string>& problems);
 
-// What a stand-in process does at a time of the day.
+// An action of a stand-in process at a time of the day.
 struct Step {
   Duration at{};
   std::string what;
   std::function<void()> run;
 };
-// Runs steps by a host's clock; the first life of the day's start may lie in the past.
+// Runs actions by a host's clock. The start may lie in the past: what is due by then runs at once.
 class Script {
  public:
   Script(io::Host& host, Time start);
@@ -135,7 +137,7 @@
   std::vector<std::unique_ptr<io::Timer>> timers_;
 };
 
-// The parts of the day that each stand-in plays.
+// Schedule the part of the day that each stand-in plays.
 void script_worker(Script& script, const Day& day, std::uint32_t id, Worker& worker, const io::Address& at);
 class ListService;
 void script_list(Script& script, const Day& day, ListService& list, io::Host& host,
@@ -144,7 +146,8 @@
 void script_broker(Script& script, const Day& day, Broker& broker);
 void script_store(Script& script, const Day& day, Store& store);
 class Registry;
-// Publishes the first release of every function; later ones come with the day's troubles.
+// Publishes a release of every function. The first one comes before the day, later ones with its faults.
+// `changed`: the share of blocks that the release replaces, if the day does not hold it.
 void publish_functions(const Day& day, Registry& registry, std::uint64_t release, double changed, Tape& tape,
                        Time at);
 void script_registry(Script& script, const Day& day, Registry& registry, io::Host& host, Tape& tape);
--- a/src/standin/http_caller.cpp
+++ b/src/standin/http_caller.cpp
@@ -2,8 +2,8 @@
 
 namespace laureltide::standin {
 
-constexpr Duration kBeyondPatience =
-    std::chrono::seconds(30);  // a client that is owed an answer keeps asking
+// Retries go on this long after the call's deadline: a client still expects its answer.
+constexpr Duration kRetryAfterDeadline = std::chrono::seconds(30);
 
 HttpCaller::HttpCaller(io::Host& host, HttpCallerOptions options, Tape& tape)
     : host_(host), options_(std::move(options)), tape_(tape), dead_(host), dead_exchanges_(host) {}
@@ -11,11 +11,12 @@
 
 void HttpCaller::call(const CallToMake& c) {
   auto& open = open_[c.name];
-  open = std::make_unique<Open>();
+  open = std::make_unique<OpenCall>();
   open->call = c;
-  open->gateway = turn_++ % options_.gateways.size();
-  open->until = host_.now() + std::chrono::milliseconds(c.patience_ms.value_or(3000)) + kBeyondPatience;
-  open->again = host_.timer([this, name = c.name] { send(name); });
+  open->gateway = next_gateway_++ % options_.gateways.size();
+  open->retry_until =
+      host_.now() + std::chrono::milliseconds(c.patience_ms.value_or(3000)) + kRetryAfterDeadline;
+  open->retry_timer = host_.timer([this, name = c.name] { send(name); });
   tape_.note(host_.now(), "sent",
              {{"call", c.name},
               {"function", c.function},
@@ -30,7 +31,7 @@
 void HttpCaller::send(const std::string& name) {
   const auto it = open_.find(name);
   if (it == open_.end()) return;
-  Open& open = *it->second;
+  OpenCall& open = *it->second;
   const auto token = options_.tokens.find(open.call.tenant);
   http::Request request;
   request.headers.add("Host", "gateway");
@@ -50,19 +51,19 @@
     if (options_.deferred) request.headers.add("Prefer", "respond-async");
     request.body = open.call.body;
   }
-  ask(name, std::move(request), options_.gateways[open.gateway % options_.gateways.size()]);
+  send_request(name, std::move(request), options_.gateways[open.gateway % options_.gateways.size()]);
 }
 
-void HttpCaller::ask(const std::string& name, http::Request request, const io::Address& to) {
-  Open& open = *open_.at(name);
-  ++open.tries;
-  if (request.method == "POST" && !open.again_asked) {
+void HttpCaller::send_request(const std::string& name, http::Request request, const io::Address& to) {
+  OpenCall& open = *open_.at(name);
+  ++open.attempts;
+  if (request.method == "POST" && !open.replayed) {
     const auto at = std::find(options_.gateways.begin(), options_.gateways.end(), to);
     const std::string who = at == options_.gateways.end()
                                 ? to.text()
                                 : options_.names[static_cast<std::size_t>(at - options_.gateways.begin())];
     tape_.note(host_.now(), "delivered",
-               {{"call", name}, {"to", who}, {"redelivered", open.given}, {"front", "http"}});
+               {{"call", name}, {"to", who}, {"redelivered", open.maybe_received}, {"front", "http"}});
   }
   dead_exchanges_.bury(std::move(open.exchange));
   const Duration within =
@@ -71,7 +72,7 @@
       host_, to, request, within, http::Limits{}, [this, name, request](http::Exchange::Result result) {
         const auto it = open_.find(name);
         if (it == open_.end()) return;
-        it->second->given = it->second->given || result.sent;
+        it->second->maybe_received = it->second->maybe_received || result.sent;
         if (result.status == 307)
           if (const std::string* where = result.headers.find("Location"))
             if (const auto url = http::parse_url(*where)) {
@@ -80,44 +81,44 @@
               it->second->gateway = static_cast<std::size_t>(
                   std::find(options_.gateways.begin(), options_.gateways.end(), url->address) -
                   options_.gateways.begin());
-              return ask(name, std::move(moved), url->address);
+              return send_request(name, std::move(moved), url->address);
             }
         on_result(name, std::move(result));
       });
 }
 
-void HttpCaller::later(Open& open) {
-  if (host_.now() > open.until || open.tries >= options_.tries) {
+void HttpCaller::retry_later(OpenCall& open) {
+  if (host_.now() > open.retry_until || open.attempts >= options_.max_attempts) {
     tape_.note(host_.now(), "gave_up", {{"call", open.call.name}});
     return;
   }
-  open.again->start(options_.pause);
+  open.retry_timer->start(options_.retry_delay);
 }
 
 void HttpCaller::on_result(const std::string& name, http::Exchange::Result result) {
-  Open& open = *open_.at(name);
-  // Workers know the call by the gateway's id for it.
+  OpenCall& open = *open_.at(name);
+  // Workers see the call under the id that the gateway gave it.
   if (const std::string* id = result.headers.find("Call-Id"))
     tape_.note(host_.now(), "named", {{"call", name}, {"id", *id}});
   if (result.status == 202) {
     if (const std::string* where = result.headers.find("Location")) open.location = *where;
-    return later(open);
+    return retry_later(open);
   }
   if (result.status == 0) {
-    // Its controller is down: its repeat goes to the next, which knows whose the key is.
+    // The controller is down: the retry goes to the next one, which finds the owner of the key.
     if (open.location.empty()) ++open.gateway;
-    return later(open);
+    return retry_later(open);
   }
   const std::string* outcome = result.headers.find("Call-Outcome");
   if (!outcome) {
-    // No answer to the call: it was not taken (503), or is not known any more after a crash (404: sent
-    // again).
+    // Not an answer to the call: it was not accepted (503), or is unknown after a crash (404), so it is sent
+    // again.
     if (result.status == 404 && !open.location.empty()) open.location.clear();
-    if (result.status == 503 || result.status == 404 || result.status == 429) return later(open);
+    if (result.status == 503 || result.status == 404 || result.status == 429) return retry_later(open);
     tape_.note(host_.now(), "turned_away",
                {{"call", name}, {"status", result.status}, {"body", result.body}});
   }
-  if (open.again_asked) {  // what was answered once is answered so again
+  if (open.replayed) {  // the replay must get the same answer
     tape_.note(host_.now(), "again",
                {{"call", name},
                 {"outcome", outcome ? *outcome : "status " + std::to_string(result.status)},
@@ -136,9 +137,9 @@
               {"bytes", a.body.size()},
               {"front", "http"}});
   if (outcome && *outcome != "refused" && host_.random_unit() < options_.repeat) {
-    open.again_asked = true;
+    open.replayed = true;
     open.location.clear();
-    open.again->start(options_.pause);
+    open.retry_timer->start(options_.retry_delay);
   } else {
     dead_.bury(std::move(open_.extract(name).mapped()));
   }
--- a/src/standin/http_caller.h
+++ b/src/standin/http_caller.h
@@ -1,5 +1,5 @@
-// A stand-in client of the invoke API: makes calls over HTTP, repeats them under the same Idempotency-Key
-// when a connection fails, and notes what it sees on its sockets.
+// A client of the HTTP invoke API for scripted days: makes calls, retries them under the same Idempotency-Key
+// when a connection fails, and records what it sees on its sockets.
 #pragma once
 
 #include <map>
@@ -13,13 +13,13 @@
 namespace laureltide::standin {
 
 struct HttpCallerOptions {
-  std::vector<io::Address> gateways;          // calls go to them in turn, and repeats to the next
-  std::vector<std::string> names;             // of the gateways, for the tape
-  std::map<std::string, std::string> tokens;  // by tenant; that of "" serves calls without one
-  int tries = 100;
-  Duration pause = std::chrono::milliseconds(100);
-  bool deferred = false;  // Prefer: respond-async, and polling
-  double repeat = 0;      // the part of answered calls that is asked for once more under its key
+  std::vector<io::Address> gateways;          // round robin; a retry goes to the next one
+  std::vector<std::string> names;             // of the gateways, as recorded
+  std::map<std::string, std::string> tokens;  // by tenant; "" holds the token of calls without a tenant
+  int max_attempts = 100;
+  Duration retry_delay = std::chrono::milliseconds(100);
+  bool deferred = false;  // sends Prefer: respond-async and polls for the answer
+  double repeat = 0;      // share of the answered calls that is sent once more under the same key
 };
 
 class HttpCaller {
@@ -31,28 +31,28 @@
   std::size_t open() const { return open_.size(); }
 
  private:
-  struct Open {
+  struct OpenCall {
     CallToMake call;
     std::size_t gateway = 0;
-    int tries = 0;
-    bool given = false;        // some gateway may have it
-    std::string location;      // of a deferred one
-    bool again_asked = false;  // it has its answer, and asks whether that stands
-    Time until{};
+    int attempts = 0;
+    bool maybe_received = false;  // a gateway may have received it
+    std::string location;         // where to poll for a deferred call
+    bool replayed = false;        // answered, and sent again: the same answer must come
+    Time retry_until{};
     std::unique_ptr<http::Exchange> exchange;
-    std::unique_ptr<io::Timer> again;
+    std::unique_ptr<io::Timer> retry_timer;
   };
   void send(const std::string& name);
-  void ask(const std::string& name, http::Request request, const io::Address& to);
+  void send_request(const std::string& name, http::Request request, const io::Address& to);
   void on_result(const std::string& name, http::Exchange::Result result);
-  void later(Open& open);
+  void retry_later(OpenCall& open);
 
   io::Host& host_;
   HttpCallerOptions options_;
   Tape& tape_;
-  std::size_t turn_ = 0;
-  std::map<std::string, std::unique_ptr<Open>> open_;
-  io::Graveyard<Open> dead_;
+  std::size_t next_gateway_ = 0;
+  std::map<std::string, std::unique_ptr<OpenCall>> open_;
+  io::Graveyard<OpenCall> dead_;
   io::Graveyard<http::Exchange> dead_exchanges_;
 };
 
--- a/src/standin/list.cpp
+++ b/src/standin/list.cpp
@@ -11,8 +11,8 @@
     for (std::size_t end; (end = bytes.find('\n', used)) != std::string_view::npos; used = end + 1) {
       const auto doc = nlohmann::json::parse(bytes.substr(used, end - used), nullptr, false);
       if (!doc.is_object()) continue;
-      if (doc.contains("follow")) name = doc.value("follow", ""), following = true;
-      service_.tell(*this, service_.full());
+      if (doc.contains("follow")) name = doc.value("follow", ""), subscribed = true;
+      service_.send_update(*this, service_.full_update());
     }
     return bytes.size() - used > 4096 ? bytes.size() : used;
   }
@@ -24,7 +24,7 @@
   }
   void write(std::string_view text) { connection_->write(text); }
   std::string name;
-  bool following = false;
+  bool subscribed = false;
 
  private:
   ListService& service_;
@@ -45,16 +45,16 @@
   return listener_ != nullptr;
 }
 
-members::Update ListService::full() const {
+members::Update ListService::full_update() const {
   members::Update u;
-  u.epoch = epoch_, u.version = told_version_;
-  for (const auto& [id, m] : told_) u.members.push_back(m);
+  u.epoch = epoch_, u.version = published_version_;
+  for (const auto& [id, m] : published_) u.members.push_back(m);
   return u;
 }
 
-void ListService::tell(Client& client, const members::Update& update) {
+void ListService::send_update(Client& client, const members::Update& update) {
   client.write(members::write_update(update) + "\n");
-  // What the controller was told of each worker that it must leave alone: rule 3 counts from here.
+  // The checker counts rule 3 from this record: the states that the controller was notified of.
   nlohmann::json states = nlohmann::json::object();
   for (const members::Member& m : update.members)
     states[std::to_string(m.id)] = m.state == WorkerState::kReady      ? "ready"
@@ -70,16 +70,16 @@
 void ListService::push(const members::Update& update) {
   auto send = [this, update] {
     if (update.epoch != epoch_) return;
-    for (const members::Member& m : update.members) told_[m.id] = m;
-    told_version_ = update.version;
+    for (const members::Member& m : update.members) published_[m.id] = m;
+    published_version_ = update.version;
     for (auto& [raw, client] : clients_)
-      if (client->following) tell(*client, update);
+      if (client->subscribed) send_update(*client, update);
     for (const members::Member& m : update.members)
-      if (m.state == WorkerState::kGone) told_.erase(m.id);
+      if (m.state == WorkerState::kGone) published_.erase(m.id);
   };
   if (lag_ <= Duration(0)) return send();
-  late_.push_back(host_.timer(send));
-  late_.back()->start(lag_);
+  delayed_updates_.push_back(host_.timer(send));
+  delayed_updates_.back()->start(lag_);
 }
 
 void ListService::set(const members::Member& member) {
@@ -93,27 +93,27 @@
 void ListService::remove(std::uint32_t id) {
   const auto it = members_.find(id);
   if (it == members_.end()) return;
-  members::Member gone = it->second;
-  gone.state = WorkerState::kGone;
+  members::Member removed = it->second;
+  removed.state = WorkerState::kGone;
   members_.erase(it);
   members::Update u;
   u.full = false, u.epoch = epoch_, u.from = version_, u.version = ++version_;
-  u.members = {gone};
+  u.members = {removed};
   push(u);
 }
 
 void ListService::send_outdated_list(std::uint64_t back) {
-  members::Update u = full();
+  members::Update u = full_update();
   u.version = u.version > back ? u.version - back : 0;
-  u.members.clear();  // an old list that knows of nobody
+  u.members.clear();  // an outdated list without workers
   for (auto& [raw, client] : clients_) client->write(members::write_update(u) + "\n");
 }
 
 void ListService::begin_new_epoch() {
   epoch_ = std::max(host_.unix_ms(), epoch_ + 1);
-  version_ = told_version_ = 1;
-  told_ = members_;
-  for (auto& [raw, client] : clients_) tell(*client, full());
+  version_ = published_version_ = 1;
+  published_ = members_;
+  for (auto& [raw, client] : clients_) send_update(*client, full_update());
 }
 
 void ListService::send_raw(std::string_view line) {
--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -9,9 +9,9 @@
 namespace laureltide::standin {
 namespace {
 
-constexpr std::uint8_t kTheirs = 76, kOurs = 108;
-constexpr std::uint8_t kOk = 97, kMiss = 99, kFull = 100, kWell = 103, kUnwell = 104;  // answers
-constexpr Duration kDripEvery = std::chrono::milliseconds(100);
+constexpr std::uint8_t kControllerMagic = 76, kInvokerMagic = 108;
+constexpr std::uint8_t kOk = 97, kMiss = 99, kFull = 100, kHealthy = 103, kUnhealthy = 104;  // answers
+constexpr Duration kDripInterval = std::chrono::milliseconds(100);
 
 // CRC-32 (IEEE), bit by bit from its definition.
 std::uint32_t crc(std::string_view bytes) {
@@ -26,7 +26,7 @@
 std::string frame(std::uint8_t code, std::uint64_t id, std::string_view fields, std::string_view body) {
   std::string out;
   Writer w(out);
-  w.u8(kOurs), w.u8(code);
+  w.u8(kInvokerMagic), w.u8(code);
   w.u16(static_cast<std::uint16_t>(fields.size()));
   w.u32(static_cast<std::uint32_t>(body.size()));
   w.u64(id);
@@ -53,14 +53,14 @@
       : number(number), connection(std::move(c)), invoker_(invoker) {}
   std::size_t on_bytes(std::string_view bytes) override {
     const Time now = invoker_.host_.now();
-    const Duration rested = now - std::exchange(used_at, now);
-    if (invoker_.reset_rested_ > Duration(0) && frames > 0 && rested > invoker_.reset_rested_)
+    const Duration idle = now - std::exchange(used_at, now);
+    if (invoker_.reset_idle_after_ > Duration(0) && frames > 0 && idle > invoker_.reset_idle_after_)
       return connection.reset(), bytes.size();
     ++frames;
     std::size_t used = 0;
     while (connection && bytes.size() - used >= 20) {
       Reader in(bytes.substr(used));
-      const bool marked = in.u8() == kTheirs;
+      const bool marked = in.u8() == kControllerMagic;
       const std::uint8_t code = in.u8();
       const std::size_t fields = in.u16(), body = in.u32();
       const std::uint64_t id = in.u64();
@@ -108,17 +108,17 @@
     session->connection.reset();
     dead_.push_back(std::move(session));
   }
-  copies_.clear();
+  instances_.clear();
 }
 
 int PlatformInvoker::instances(const std::string& function) const {
-  const auto it = copies_.find(function);
-  return it == copies_.end() ? 0 : it->second;
+  const auto it = instances_.find(function);
+  return it == instances_.end() ? 0 : it->second;
 }
 
-void PlatformInvoker::later(Duration after, std::function<void()> what) {
-  timers_.push_back(host_.timer(std::move(what)));
-  timers_.back()->start(after);
+void PlatformInvoker::run_later(Duration delay, std::function<void()> action) {
+  timers_.push_back(host_.timer(std::move(action)));
+  timers_.back()->start(delay);
 }
 
 void PlatformInvoker::on_frame(Session& session, std::uint8_t code, std::uint64_t id, std::string fields,
@@ -133,7 +133,7 @@
     case 67:
     case 68:
       ++probes_;
-      return answer(to(), draining_ ? kUnwell : kWell, id,
+      return answer(to(), draining_ ? kUnhealthy : kHealthy, id,
                     options_.load_report.empty() ? "" : "load=" + options_.load_report, "");
     case 69: {
       ++orders_;
@@ -144,11 +144,11 @@
         return answer(to(), kFull, id, "units=" + std::to_string(instances(function)), "");
       }
       int all = 0;
-      for (const auto& [name, n] : copies_) all += n;
+      for (const auto& [name, n] : instances_) all += n;
       const int more = std::max(0, wanted - instances(function));
-      const bool room = all + more <= options_.room;
-      return later(more > 0 && room ? options_.load : Duration(0), [this, to, id, function, more, room] {
-        if (room) copies_[function] += more;
+      const bool room = all + more <= options_.max_instances;
+      return run_later(more > 0 && room ? options_.load : Duration(0), [this, to, id, function, more, room] {
+        if (room) instances_[function] += more;
         answer(to(), room ? 97 : 100, id, "units=" + std::to_string(instances(function)), "");
       });
     }
@@ -167,62 +167,62 @@
   const bool first =
       std::none_of(calls_.begin(), calls_.end(), [&](const ReceivedCall& s) { return s.id == id; });
   calls_.push_back({id, fields, std::move(body), false, false, host_.now()});
-  const std::size_t place = calls_.size() - 1;
-  copy_earlier(id);
+  const std::size_t index = calls_.size() - 1;
+  duplicate_refusals(id);
   if (draining_) {
     sent_while_draining_.push_back({host_.now(), 65});
     return answer(&session, kFull, id, "", "");
   }
-  if (only_ != 0) return answer(&session, only_, id, "", "");
+  if (fixed_answer_ != 0) return answer(&session, fixed_answer_, id, "", "");
   if (refuse_first_ != 0 && first) return answer(&session, refuse_first_, id, "", "");
-  if (refuse_some_ != 0 && chance() < refused_share_) return answer(&session, refuse_some_, id, "", "");
+  if (refuse_some_ != 0 && random_unit() < refused_share_) return answer(&session, refuse_some_, id, "", "");
   if (instances(value_of(fields, "k")) == 0) return answer(&session, kMiss, id, "", "");
-  calls_[place].ran = true;
+  calls_[index].ran = true;
   const std::string load = options_.load_report.empty() ? "" : ",load=" + options_.load_report;
-  later(options_.run, [this, number = session.number, id, place, load] {
-    if (!calls_[place].cancelled)
-      answer(this->session(number), kOk, id, "ahead=2" + load, "answer to " + calls_[place].body);
+  run_later(options_.run, [this, number = session.number, id, index, load] {
+    if (!calls_[index].cancelled)
+      answer(this->session(number), kOk, id, "ahead=2" + load, "answer to " + calls_[index].body);
   });
 }
 
-void PlatformInvoker::copy_earlier(std::uint64_t id) {
-  if (!copy_at_next_attempt_) return;
+void PlatformInvoker::duplicate_refusals(std::uint64_t id) {
+  if (!duplicate_at_next_attempt_) return;
   const auto [begin, end] = refused_.equal_range(id);
   for (auto it = begin; it != end; ++it) {
-    Session* const brought = session(it->second.session);
-    if (!brought || !brought->connection) continue;
-    brought->connection->write(it->second.bytes);
-    ++copies_sent_;
+    Session* const earlier = session(it->second.session);
+    if (!earlier || !earlier->connection) continue;
+    earlier->connection->write(it->second.bytes);
+    ++duplicates_sent_;
   }
 }
 
-void PlatformInvoker::copy_later(Session& session, std::string bytes) {
-  if (copies_sent_as_.share <= 0 || chance() >= copies_sent_as_.share) return;
-  const double part = chance();
-  const Duration span = copies_sent_as_.most - copies_sent_as_.least;
+void PlatformInvoker::duplicate_later(Session& session, std::string bytes) {
+  if (duplicates_.share <= 0 || random_unit() >= duplicates_.share) return;
+  const double part = random_unit();
+  const Duration span = duplicates_.max_delay - duplicates_.min_delay;
   const Duration after =
-      copies_sent_as_.least + Duration(static_cast<Duration::rep>(part * static_cast<double>(span.count())));
-  later(after, [this, number = session.number, bytes = std::move(bytes)] {
+      duplicates_.min_delay + Duration(static_cast<Duration::rep>(part * static_cast<double>(span.count())));
+  run_later(after, [this, number = session.number, bytes = std::move(bytes)] {
     Session* const to = this->session(number);
     if (!to || !to->connection) return;
     to->connection->write(bytes);
-    ++copies_sent_;
+    ++duplicates_sent_;
   });
 }
 
 void PlatformInvoker::answer(Session* session, std::uint8_t code, std::uint64_t id, std::string fields,
                              std::string body) {
   if (!session || !session->connection) return;
-  InjectedFault how = InjectedFault::kNone;
-  if (code == 97 && !body.empty() && !spoils_.empty()) how = spoils_.front(), spoils_.pop_front();
+  InjectedFault fault = InjectedFault::kNone;
+  if (code == 97 && !body.empty() && !faults_.empty()) fault = faults_.front(), faults_.pop_front();
   io::Connection& out = *session->connection;
   session->used_at = host_.now();
   std::string bytes = frame(code, id, fields, body);
-  switch (how) {
+  switch (fault) {
     case InjectedFault::kNone:
-      if (copy_at_next_attempt_ && code != kOk) refused_.emplace(id, Refused{session->number, bytes});
+      if (duplicate_at_next_attempt_ && code != kOk) refused_.emplace(id, Refused{session->number, bytes});
       out.write(bytes);
-      return copy_later(*session, std::move(bytes));
+      return duplicate_later(*session, std::move(bytes));
     case InjectedFault::kBadChecksum:
       bytes.back() = static_cast<char>(bytes.back() ^ 1);
       return out.write(bytes);
@@ -230,7 +230,7 @@
     case InjectedFault::kOversized: {
       std::string head;
       Writer w(head);
-      w.u8(kOurs), w.u8(97), w.u16(0), w.u32(3'000'000'000U), w.u64(id);
+      w.u8(kInvokerMagic), w.u8(97), w.u16(0), w.u32(3'000'000'000U), w.u64(id);
       return out.write(head + std::string(100'000, 'x'));
     }
     case InjectedFault::kTruncated: out.write(bytes.substr(0, bytes.size() / 2)); return out.finish();
@@ -266,14 +266,14 @@
   std::size_t on_bytes(std::string_view bytes) override {
     const std::size_t end = bytes.find("\r\n\r\n");
     if (end == std::string_view::npos) return 0;
-    ++bus_.asked_;
+    ++bus_.requests_;
     const std::size_t at = bytes.find("Last-Event-ID: ");
     const auto from = at == std::string_view::npos
                           ? 0
                           : std::strtoull(std::string(bytes.substr(at + 15, 20)).c_str(), nullptr, 10);
-    bus_.last_from_ = from;
+    bus_.last_requested_from_ = from;
     if (from == 0 && bus_.healed_) bus_.skip_ = 0;
-    if (bus_.mute_ > 0) return --bus_.mute_, end + 4;
+    if (bus_.requests_to_ignore_ > 0) return --bus_.requests_to_ignore_, end + 4;
     if (bus_.answer_after_ == Duration(0)) return answer(from), end + 4;
     answer_timer_ = bus_.host_.timer([this, from] { answer(from); });
     answer_timer_->start(bus_.answer_after_);
@@ -304,7 +304,7 @@
   });
   drip_ = host.timer([this] {
     if (outage_ != Outage::kDripping) return;
-    drip_->start(kDripEvery);
+    drip_->start(kDripInterval);
     for (const auto& s : sessions_)
       if (s->connection && s->following) s->connection->write(":");
   });
@@ -316,13 +316,13 @@
   listener_ = host_.listen(address_, {}, [this](std::unique_ptr<io::Connection> c) {
     return sessions_.insert(std::make_unique<Session>(*this, std::move(c))).first->get();
   });
-  if (listener_) address_ = listener_->address();  // the same when it starts again
+  if (listener_) address_ = listener_->address();  // keeps the port over a restart
   return listener_ != nullptr;
 }
 
 void PlatformBus::set_outage(Outage outage) {
   outage_ = outage;
-  drip_->start(kDripEvery);
+  drip_->start(kDripInterval);
   if (outage != Outage::kNone) return;
   for (const auto& s : sessions_) s->connection.reset(), s->following = false;
 }
@@ -349,13 +349,13 @@
 void PlatformBus::send(Session& session, std::uint64_t offset) {
   if (offset == skip_) return;
   const std::string text = "id: " + std::to_string(offset) + "\ndata: " + events_[offset - 1] + "\n\n";
-  if (std::exchange(break_next_, false)) {
+  if (std::exchange(truncate_next_, false)) {
     session.connection->write(text.substr(0, text.size() / 2));
     session.connection->finish();
     session.following = false;
     return;
   }
-  session.connection->write(doubles_ ? text + text : text);
+  session.connection->write(duplicate_events_ ? text + text : text);
 }
 
 std::string PlatformBus::known() const {
@@ -427,13 +427,13 @@
   if (open_)
     connection_->write(bytes);
   else
-    waiting_ += bytes;
+    unsent_ += bytes;
 }
 
 void PlatformClient::on_open() {
   open_ = true;
-  if (!waiting_.empty()) connection_->write(waiting_);
-  waiting_.clear();
+  if (!unsent_.empty()) connection_->write(unsent_);
+  unsent_.clear();
 }
 
 std::size_t PlatformClient::on_bytes(std::string_view bytes) {
@@ -448,7 +448,7 @@
   return used;
 }
 
-// Reads just what the service's answers can hold, in the order of their fields.
+// Reads only the fields that answers of the service can have.
 void PlatformClient::read(std::string_view frame) {
   Reader in(frame);
   const std::uint32_t version = in.u32();
--- a/src/standin/registry.cpp
+++ b/src/standin/registry.cpp
@@ -8,9 +8,9 @@
 namespace laureltide::standin {
 namespace {
 
-constexpr std::size_t kPiece = 64U << 10;
+constexpr std::size_t kSegmentBytes = 64U << 10;
 
-// The stand-in's own: it shares no code with the client that it serves.
+// Not shared with the client under test, so that a mistake there shows.
 std::string sha256(const std::string& bytes) {
   unsigned char digest[EVP_MAX_MD_SIZE];
   unsigned size = 0;
@@ -45,7 +45,7 @@
 
   std::size_t on_bytes(std::string_view bytes) override {
     std::size_t used = 0;
-    if (busy_) return 0;  // one at a time
+    if (busy_) return 0;  // one request at a time
     const auto state = parser_.feed(bytes, used);
     if (state == http::Parser::State::kBad) {
       connection_->finish();
@@ -73,23 +73,23 @@
     registry_.dead_.bury(std::move(self));
   }
   void leave() {
-    if (std::exchange(busy_, false)) --registry_.in_hand_;
+    if (std::exchange(busy_, false)) --registry_.in_flight_;
   }
 
   void begin() {
     busy_ = true;
     ++registry_.requests_;
-    registry_.most_in_hand_ = std::max(registry_.most_in_hand_, ++registry_.in_hand_);
+    registry_.max_in_flight_ = std::max(registry_.max_in_flight_, ++registry_.in_flight_);
     request_ = std::move(parser_.request());
-    next_ = [this] { say(); };
+    next_ = [this] { respond(); };
     timer_->start(registry_.options_.latency);
   }
 
-  void say() {
-    const bool crowded = registry_.in_hand_ > registry_.options_.takes;
-    Answer a = crowded ? registry_.error(429, "TOOMANYREQUESTS", "too many requests in hand")
-                       : registry_.answer(request_);
-    if (crowded) a.headers.add("Retry-After", "1");
+  void respond() {
+    const bool overloaded = registry_.in_flight_ > registry_.options_.takes;
+    Answer a = overloaded ? registry_.error(429, "TOOMANYREQUESTS", "too many requests in hand")
+                          : registry_.answer(request_);
+    if (overloaded) a.headers.add("Retry-After", "1");
     const bool head = request_.method == "HEAD";
     fault_ = a.status == 200 || a.status == 206 ? registry_.fault(a.note) : std::nullopt;
     using Kind = Fault::Kind;
@@ -109,38 +109,40 @@
     std::string whole;
     http::write(whole, response, head);
     const std::size_t body = head ? 0 : a.body.size();
-    left_ = std::move(whole);
+    unsent_ = std::move(whole);
     note_ = !head && (a.status == 200 || a.status == 206) ? a.note : "";
-    cut_ = 0;
+    bytes_until_cut_ = 0;
     if (fault_ &&
         (fault_->kind == Kind::kShort || fault_->kind == Kind::kReset || fault_->kind == Kind::kEndless))
-      cut_ = left_.size() - body / 2;  // so far it comes
+      bytes_until_cut_ = unsent_.size() - body / 2;  // sends half of the body
     paced_ = body > 0;
-    wait_for_piece();
+    schedule_segment();
   }
 
-  // Piece by piece, as fast as the store's line has room.
-  std::size_t next_size() const { return std::min(kPiece, cut_ > 0 ? cut_ : left_.size()); }
-  void wait_for_piece() {
-    next_ = [this] { piece(); };
-    timer_->start(paced_ ? registry_.pace(next_size()) : Duration(0));
+  // Sends in segments, paced by the shared bandwidth.
+  std::size_t segment_size() const {
+    return std::min(kSegmentBytes, bytes_until_cut_ > 0 ? bytes_until_cut_ : unsent_.size());
   }
-  void piece() {
+  void schedule_segment() {
+    next_ = [this] { send_segment(); };
+    timer_->start(paced_ ? registry_.pace(segment_size()) : Duration(0));
+  }
+  void send_segment() {
     using Kind = Fault::Kind;
-    const std::size_t n = next_size();
-    connection_->write(std::string_view(left_).substr(0, n));
-    left_.erase(0, n);
+    const std::size_t n = segment_size();
+    connection_->write(std::string_view(unsent_).substr(0, n));
+    unsent_.erase(0, n);
     if (paced_) registry_.sent_ += n;
-    if (cut_ > 0 && (cut_ -= n) == 0) {
-      if (fault_->kind == Kind::kEndless) return;  // says nothing more, and does not hang up
+    if (bytes_until_cut_ > 0 && (bytes_until_cut_ -= n) == 0) {
+      if (fault_->kind == Kind::kEndless) return;  // sends nothing more, keeps the connection
       if (fault_->kind == Kind::kShort)
         connection_->finish();
       else
         connection_.reset();
       return bury();
     }
-    if (left_.empty()) return done();
-    wait_for_piece();
+    if (unsent_.empty()) return done();
+    schedule_segment();
   }
 
   void done() {
@@ -166,9 +168,9 @@
   http::Request request_;
   std::unique_ptr<io::Timer> timer_;
   std::function<void()> next_;
-  std::string left_, note_;
+  std::string unsent_, note_;
   std::optional<Fault> fault_;
-  std::size_t cut_ = 0;
+  std::size_t bytes_until_cut_ = 0;
   bool busy_ = false, paced_ = false;
 };
 
@@ -192,7 +194,7 @@
 std::string Registry::put_blob(const std::string& repository, std::string bytes) {
   std::string digest = sha256(bytes);
   blobs_[digest] = std::move(bytes);
-  of_repository_[repository].insert(digest);
+  repository_digests_[repository].insert(digest);
   return digest;
 }
 
@@ -209,7 +211,7 @@
 Duration Registry::pace(std::size_t bytes) {
   if (options_.bytes_per_s <= 0) return Duration(0);
   const auto takes = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(static_cast<double>(bytes) * slow_ / options_.bytes_per_s));
+      std::chrono::duration<double>(static_cast<double>(bytes) * slowdown_ / options_.bytes_per_s));
   free_at_ = std::max(free_at_, host_.now()) + takes;
   return free_at_ - host_.now();
 }
@@ -239,7 +241,7 @@
   if (!target || target->path.empty() || target->path[0] != "v2")
     return error(404, "UNSUPPORTED", "no such path");
   const auto& path = target->path;
-  if (path.size() <= 2 && (path.size() == 1 || path[1].empty())) return {};  // end-1: the API is spoken here
+  if (path.size() <= 2 && (path.size() == 1 || path[1].empty())) return {};  // end-1: version check
   if (path.size() < 4) return error(404, "NAME_UNKNOWN", "no such path");
   const std::string& kind = path[path.size() - 2];
   const bool read = request.method == "GET" || request.method == "HEAD";
@@ -255,8 +257,8 @@
   const std::string* bytes = nullptr;
   if (blob) {
     const auto it = blobs_.find(name);
-    const auto listed = of_repository_.find(repository);
-    if (it != blobs_.end() && listed != of_repository_.end() && listed->second.contains(name))
+    const auto listed = repository_digests_.find(repository);
+    if (it != blobs_.end() && listed != repository_digests_.end() && listed->second.contains(name))
       bytes = &it->second;
     if (!bytes) return error(404, "BLOB_UNKNOWN", "no such blob here: " + name);
   } else {
@@ -339,7 +341,7 @@
       return error(400, "MANIFEST_INVALID", "no image manifest");
     auto known = [&](const nlohmann::json& descriptor) {
       return descriptor.is_object() && descriptor.contains("digest") && descriptor["digest"].is_string() &&
-             of_repository_[repository].contains(descriptor["digest"].get<std::string>());
+             repository_digests_[repository].contains(descriptor["digest"].get<std::string>());
     };
     for (const auto& layer : doc["layers"])
       if (!known(layer)) return error(404, "MANIFEST_BLOB_UNKNOWN", "a blob that is not here");
--- a/src/standin/registry.h
+++ b/src/standin/registry.h
@@ -1,8 +1,8 @@
-// A stand-in for the one store that all boxes fetch from: the OCI distribution API (distribution-spec 1.1:
-// pull, monolithic push, HEAD, Range) on loopback, in memory, with the faults that a day or test orders.
+// A stand-in for the store that all machines fetch from: the OCI distribution API (distribution-spec 1.1:
+// pull, monolithic push, HEAD, Range) on loopback, in memory, with the faults of a scripted day or test.
 //
-// Bandwidth is one for all who ask: bodies are paced together, so a crowd is slow for everybody. It notes
-// every byte range that it sent, and to whom (User-Agent), for the checker.
+// All clients share one bandwidth: bodies are paced together, so many clients slow each other down. It
+// records for the checker every byte range that it sent, and to whom (User-Agent).
 #pragma once
 
 #include <deque>
@@ -20,9 +20,9 @@
 
 struct RegistryOptions {
   std::string name = "store";
-  double bytes_per_s = 0;   // of all bodies together; 0: as fast as they are read
-  std::size_t takes = 256;  // requests in hand; over it 429
-  Duration latency{};       // before an answer begins
+  double bytes_per_s = 0;   // of all bodies together; 0: unlimited
+  std::size_t takes = 256;  // concurrent requests; further ones get 429
+  Duration latency{};       // before each answer
   std::size_t most_body = 512U << 20;
 };
 
@@ -38,19 +38,19 @@
   std::string put_manifest(const std::string& repository, const std::string& tag, std::string bytes);
   void delete_blob(const std::string& digest) { blobs_.erase(digest); }
 
-  // ---- Faults. Of blobs and manifests alike, unless said otherwise ----
-  void set_slowdown(double times) { slow_ = times; }
-  // The next n answers; `digest`: only of that blob. n < 0: for ever.
+  // ---- Faults, of blobs and manifests unless stated otherwise ----
+  void set_slowdown(double factor) { slowdown_ = factor; }
+  // Applies to the next `times` answers (negative: to all), with `digest` only to answers for that blob.
   struct Fault {
     enum class Kind {
-      kCorrupt,    // a byte is another
-      kShort,      // ends early, in order
-      kReset,      // breaks off in the middle
-      kEndless,    // stops in the middle and stays
+      kCorrupt,    // changes one byte
+      kShort,      // closes the connection early
+      kReset,      // resets the connection in the middle of the body
+      kEndless,    // stops in the middle and keeps the connection open
       kStatus,     // `status` with `retry_after_s`
-      kRedirect,   // to the same path at `to`
+      kRedirect,   // redirects to the same path at `to`
       kWholeBody,  // ignores Range
-      kOtherRange  // another part than was asked for
+      kOtherRange  // sends another range than requested
     } kind = Kind::kCorrupt;
     int times = 1;
     std::string digest;
@@ -60,13 +60,13 @@
   void add(Fault fault) { faults_.push_back(std::move(fault)); }
   void clear_faults() { faults_.clear(); }
 
-  // ---- What was seen ----
+  // ---- Counters ----
   std::uint64_t requests() const { return requests_; }
-  std::uint64_t sent_bytes() const { return sent_; }  // of bodies
-  // How often each byte range of a blob was sent whole to whom: "who digest from-to".
+  std::uint64_t sent_bytes() const { return sent_; }  // body bytes only
+  // How often each byte range of a blob was sent completely, by "client digest from-to".
   const std::map<std::string, int>& ranges() const { return ranges_; }
-  std::size_t in_hand() const { return in_hand_; }
-  std::size_t max_in_flight() const { return most_in_hand_; }
+  std::size_t in_flight() const { return in_flight_; }
+  std::size_t max_in_flight() const { return max_in_flight_; }
 
  private:
   class Client;
@@ -74,7 +74,7 @@
     int status = 200;
     http::Headers headers;
     std::string body;
-    std::string note;  // for ranges_, once it is sent whole
+    std::string note;  // key in ranges_, counted once the body is sent completely
   };
   Answer answer(const http::Request& request);
   Answer error(int status, const char* code, const std::string& what) const;
@@ -90,17 +90,17 @@
   std::unique_ptr<io::Listener> listener_;
   std::map<Client*, std::unique_ptr<Client>> clients_;
   io::Graveyard<Client> dead_;
-  std::map<std::string, std::string> blobs_;                        // by digest
-  std::map<std::string, std::set<std::string>> of_repository_;      // digests that it lists
-  std::map<std::string, std::map<std::string, std::string>> tags_;  // repository, tag or digest: the digest
-  std::map<std::string, std::string> manifests_;                    // by digest
+  std::map<std::string, std::string> blobs_;                         // by digest
+  std::map<std::string, std::set<std::string>> repository_digests_;  // by repository
+  std::map<std::string, std::map<std::string, std::string>> tags_;   // repository, tag or digest: the digest
+  std::map<std::string, std::string> manifests_;                     // by digest
   std::set<std::string> uploads_;
   std::deque<Fault> faults_;
-  double slow_ = 1;
-  Time free_at_{};  // when the line is free again
+  double slowdown_ = 1;
+  Time free_at_{};  // when the shared bandwidth is free again
   std::uint64_t requests_ = 0, sent_ = 0, next_upload_ = 1;
   std::map<std::string, int> ranges_;
-  std::size_t in_hand_ = 0, most_in_hand_ = 0;
+  std::size_t in_flight_ = 0, max_in_flight_ = 0;
 };
 
 }  // namespace laureltide::standin
--- a/src/standin/store.cpp
+++ b/src/standin/store.cpp
@@ -8,7 +8,7 @@
 class Store::Client : public io::ConnectionEvents {
  public:
   Client(Store& store, std::unique_ptr<io::Connection> c) : store_(store), connection_(std::move(c)) {}
-  ~Client() override { store_.in_hand_ -= under_way_.size(); }
+  ~Client() override { store_.in_flight_ -= timers_.size(); }
   std::size_t on_bytes(std::string_view bytes) override {
     std::size_t used = 0;
     for (std::size_t end; (end = bytes.find('\n', used)) != std::string_view::npos; used = end + 1) {
@@ -29,23 +29,23 @@
  private:
   void begin(std::uint64_t id, double ms) {
     ++store_.fetches_;
-    if (store_.in_hand_ >= store_.options_.takes)
+    if (store_.in_flight_ >= store_.options_.max_fetches)
       return connection_->write("refused " + std::to_string(id) + "\n");
-    ++store_.in_hand_;
-    const double crowd =
-        std::max(1.0, static_cast<double>(store_.in_hand_) / static_cast<double>(store_.options_.at_once));
-    auto& timer = under_way_[id];
+    ++store_.in_flight_;
+    const double slowdown = std::max(1.0, static_cast<double>(store_.in_flight_) /
+                                              static_cast<double>(store_.options_.full_speed_fetches));
+    auto& timer = timers_[id];
     timer = store_.host_.timer([this, id] {
-      under_way_.erase(id);
-      --store_.in_hand_;
+      timers_.erase(id);
+      --store_.in_flight_;
       connection_->write("done " + std::to_string(id) + "\n");
     });
     timer->start(std::chrono::duration_cast<Duration>(
-        std::chrono::duration<double, std::milli>(ms * crowd * store_.slow_)));
+        std::chrono::duration<double, std::milli>(ms * slowdown * store_.slowdown_)));
   }
   Store& store_;
   std::unique_ptr<io::Connection> connection_;
-  std::map<std::uint64_t, std::unique_ptr<io::Timer>> under_way_;
+  std::map<std::uint64_t, std::unique_ptr<io::Timer>> timers_;
 };
 
 Store::Store(io::Host& host, StoreOptions options) : host_(host), options_(options), dead_(host) {}
@@ -63,12 +63,13 @@
 
 StoreClient::StoreClient(io::Host& host, io::Address store) : host_(host), store_(std::move(store)) {}
 
-void StoreClient::fetch(Duration at_full_pace, Done done) {
+void StoreClient::fetch(Duration full_speed_duration, Done done) {
   if (!connection_) connection_ = host_.connect(store_, {}, *this);
-  const std::uint64_t id = next_++;
-  waiting_[id] = std::move(done);
+  const std::uint64_t id = next_id_++;
+  pending_[id] = std::move(done);
   connection_->write("fetch " + std::to_string(id) + " " +
-                     std::to_string(std::chrono::duration<double, std::milli>(at_full_pace).count()) + "\n");
+                     std::to_string(std::chrono::duration<double, std::milli>(full_speed_duration).count()) +
+                     "\n");
 }
 
 std::size_t StoreClient::on_bytes(std::string_view bytes) {
@@ -77,10 +78,10 @@
     const std::string line(bytes.substr(used, end - used));
     const std::size_t space = line.find(' ');
     if (space == std::string::npos) continue;
-    const auto it = waiting_.find(std::strtoull(line.c_str() + space + 1, nullptr, 10));
-    if (it == waiting_.end()) continue;
+    const auto it = pending_.find(std::strtoull(line.c_str() + space + 1, nullptr, 10));
+    if (it == pending_.end()) continue;
     const Done done = std::move(it->second);
-    waiting_.erase(it);
+    pending_.erase(it);
     done(line.starts_with("done"));
   }
   return used;
@@ -88,7 +89,7 @@
 
 void StoreClient::on_closed(io::Closed) {
   connection_.reset();
-  for (auto& [id, done] : std::exchange(waiting_, {})) done(false);
+  for (auto& [id, done] : std::exchange(pending_, {})) done(false);
 }
 
 }  // namespace laureltide::standin
--- a/src/standin/store.h
+++ b/src/standin/store.h
@@ -1,6 +1,6 @@
-// A stand-in for the one store that all workers fetch functions from: it serves a few fetches at full pace,
-// gets slower when crowded, and turns fetches away beyond a limit. A line each way:
-//   "fetch ID MS\n" -> "done ID\n" | "refused ID\n"   (MS: how long the fetch takes at full pace)
+// A stand-in for the store that all workers fetch functions from. It serves a few fetches at full speed,
+// slows down under more, and refuses fetches over a limit. The protocol is one line each way:
+//   "fetch ID MS\n" -> "done ID\n" | "refused ID\n"   (MS: duration of the fetch at full speed)
 #pragma once
 
 #include <functional>
@@ -13,8 +13,8 @@
 namespace laureltide::standin {
 
 struct StoreOptions {
-  std::size_t at_once = 8;  // fetches at full pace
-  std::size_t takes = 64;   // fetches in hand; over it they are refused
+  std::size_t full_speed_fetches = 8;  // concurrent fetches without slowdown
+  std::size_t max_fetches = 64;        // concurrent fetches; further ones are refused
 };
 
 class Store {
@@ -23,7 +23,7 @@
   ~Store();
   bool listen(const io::Address& at);
   io::Address address() const { return listener_->address(); }
-  void set_slowdown(double times) { slow_ = times; }
+  void set_slowdown(double factor) { slowdown_ = factor; }
   std::uint64_t fetches() const { return fetches_; }
 
  private:
@@ -33,17 +33,17 @@
   std::unique_ptr<io::Listener> listener_;
   std::map<Client*, std::unique_ptr<Client>> clients_;
   io::Graveyard<Client> dead_;
-  double slow_ = 1;
-  std::size_t in_hand_ = 0;
+  double slowdown_ = 1;
+  std::size_t in_flight_ = 0;
   std::uint64_t fetches_ = 0;
 };
 
-// A worker's end. `done(false)`: refused, or the store cannot be reached.
+// The worker's side of the protocol. `done(false)`: refused, or the store cannot be reached.
 class StoreClient : public io::ConnectionEvents {
  public:
   using Done = std::function<void(bool fetched)>;
   StoreClient(io::Host& host, io::Address store);
-  void fetch(Duration at_full_pace, Done done);
+  void fetch(Duration full_speed_duration, Done done);
   std::size_t on_bytes(std::string_view bytes) override;
   void on_closed(io::Closed why) override;
 
@@ -51,8 +51,8 @@
   io::Host& host_;
   io::Address store_;
   std::unique_ptr<io::Connection> connection_;
-  std::map<std::uint64_t, Done> waiting_;
-  std::uint64_t next_ = 1;
+  std::map<std::uint64_t, Done> pending_;
+  std::uint64_t next_id_ = 1;
 };
 
 }  // namespace laureltide::standin
--- a/src/standin/worker.cpp
+++ b/src/standin/worker.cpp
@@ -16,7 +16,7 @@
 Duration from_seconds(double s) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(s));
 }
-constexpr Duration kSweepEvery = std::chrono::milliseconds(250);
+constexpr Duration kSweepInterval = std::chrono::milliseconds(250);
 }  // namespace
 
 Worker::Worker(io::Host& host, WorkerOptions options, Tape& tape)
@@ -31,14 +31,14 @@
 bool Worker::start(const io::Address& at, bool cold) {
   io::StreamOptions stream;
   stream.read_ahead = worker::kDefaultMaxFrame + (64U << 10);
-  ++life_;
-  draining_ = silent_ = false;
+  ++incarnation_;
+  draining_ = unresponsive_ = false;
   cold_since_.reset();
   if (cold) cold_since_ = host_.now();
   const std::int64_t started = host_.unix_ms();
   if (options_.agent) {
-    agent_ = std::make_shared<layers::AgentClient>(host_, *options_.agent, options_.name,
-                                                   std::to_string(started) + "-" + std::to_string(life_));
+    agent_ = std::make_shared<layers::AgentClient>(
+        host_, *options_.agent, options_.name, std::to_string(started) + "-" + std::to_string(incarnation_));
     agent_->follow([this](const std::vector<layers::ReleaseNews>& all) { on_releases(all); });
   }
   listener_ =
@@ -48,13 +48,13 @@
         auto fresh = std::make_unique<worker::Session>(host_, hello, *this);
         worker::Session* raw = fresh.get();
         raw->attach(std::move(c));
-        if (silent_) raw->read(false);
+        if (unresponsive_) raw->read(false);
         sessions_[raw] = std::move(fresh);
         return raw;
       });
   if (!listener_) return false;
   address_ = listener_->address();
-  sweep_->start(kSweepEvery);
+  sweep_->start(kSweepInterval);
   tape_.note(host_.now(), "started", {{"worker", options_.id}, {"cold", cold}});
   return true;
 }
@@ -63,15 +63,16 @@
 
 void Worker::crash() {
   if (!listener_) return;
-  unsaid_.clear();
-  if (silent_) set_unresponsive(false);
+  unsent_.clear();
+  if (unresponsive_) set_unresponsive(false);
   tape_.note(host_.now(), "crashed", {{"worker", options_.id}});
-  ++life_;
+  ++incarnation_;
   listener_.reset();
-  jobs_.clear(), pools_.clear(), for_core_.clear(), load_line_.clear(), cold_work_.clear(), unsaid_.clear();
-  unheard_.clear(), keys_.clear(), loading_timers_.clear(), late_to_.clear();
+  jobs_.clear(), pools_.clear(), core_queue_.clear(), load_queue_.clear(), cold_work_.clear(),
+      unsent_.clear();
+  unheard_.clear(), keys_.clear(), loading_timers_.clear(), delayed_to_.clear();
   loads_ = on_core_ = 0;
-  agent_.reset();  // its pins go with its lease, or its next life
+  agent_.reset();  // its pins end with its lease or at the next start
   for (auto& [raw, session] : std::exchange(sessions_, {})) {
     raw->abort();
     dead_.bury(std::move(session));
@@ -79,12 +80,12 @@
 }
 
 void Worker::set_unresponsive(bool on) {
-  if (silent_ == on) return;
+  if (unresponsive_ == on) return;
   tape_.note(host_.now(), "silent", {{"worker", options_.id}, {"on", on}});
-  silent_ = on;
+  unresponsive_ = on;
   for (auto& [raw, session] : sessions_) raw->read(!on);
   if (on) return;
-  for (auto& [session, message] : std::exchange(unsaid_, {}))
+  for (auto& [session, message] : std::exchange(unsent_, {}))
     if (sessions_.contains(session)) session->send(message);
 }
 
@@ -112,12 +113,12 @@
 
 void Worker::on_end(worker::Session& session) {
   for (auto& [id, job] : jobs_)
-    if (job.session == &session) job.session = nullptr;  // its work goes on: nobody told it to stop
+    if (job.session == &session) job.session = nullptr;  // its work goes on: it was not cancelled
   for (auto& [name, pool] : pools_)
     std::erase_if(pool.orders, [&](const Order& o) { return o.session == &session; });
-  // The next session may come to stand at the same address: what was this one's must not reach it.
-  std::erase_if(unsaid_, [&](const auto& u) { return u.first == &session; });
-  std::erase_if(late_to_, [&](const auto& l) { return l.second == &session; });
+  // A new session may be allocated at the same address and must not get this one's messages.
+  std::erase_if(unsent_, [&](const auto& u) { return u.first == &session; });
+  std::erase_if(delayed_to_, [&](const auto& l) { return l.second == &session; });
   const auto it = sessions_.find(&session);
   if (it == sessions_.end()) return;
   auto dead = std::move(it->second);
@@ -134,13 +135,13 @@
     return;
   }
   if (const auto* probe = std::get_if<worker::Probe>(&message))
-    return say(&session, worker::Probed{probe->id, report()});
+    return send(&session, worker::Probed{probe->id, report()});
   if (const auto* cancel = std::get_if<worker::Cancel>(&message)) {
     for (auto& [id, job] : jobs_) {
       if (job.session != &session || job.call.id != cancel->id) continue;
       if (job.running) return void(job.cancelled = true);  // running work goes on
       for (auto& [name, pool] : pools_) std::erase(pool.waiting, id);
-      std::erase(for_core_, id);
+      std::erase(core_queue_, id);
       worker::Answer a;
       a.id = job.call.id, a.kind = AnswerKind::kCancelled;
       answer(&session, std::move(a), job.call);
@@ -150,9 +151,9 @@
   }
 }
 
-void Worker::say(worker::Session* session, const worker::Message& message) {
+void Worker::send(worker::Session* session, const worker::Message& message) {
   if (!session) return;
-  if (silent_) return void(unsaid_.emplace_back(session, message));
+  if (unresponsive_) return void(unsent_.emplace_back(session, message));
   session->send(message);
 }
 
@@ -164,37 +165,37 @@
               {"call", call.name},
               {"attempt", call.attempt},
               {"kind", kKinds[static_cast<int>(a.kind)]},
-              {"heard", session != nullptr && !silent_}});
+              {"heard", session != nullptr && !unresponsive_}});
   if (!session) return;
   if (reset_answers_ > 0) {
     --reset_answers_;
     std::string bytes;
     worker::write(bytes, a);
     session->send_raw(std::string_view(bytes).substr(0, bytes.size() / 2));
-    // Behind what was written, then gone: the reader sees half a frame.
+    // The reset follows the bytes written, so the reader sees half a frame.
     return session->abort();
   }
-  if (ghosts_ > 0) {
-    --ghosts_;
-    worker::Answer ghost = a;
-    ghost.id = session->last_call() + 1000;
-    session->send(ghost);
+  if (unknown_answers_ > 0) {
+    --unknown_answers_;
+    worker::Answer unknown = a;
+    unknown.id = session->last_call() + 1000;
+    session->send(unknown);
   }
-  if (late_ > 0) {
-    --late_;
-    const std::uint64_t number = next_late_++;
-    late_to_[number] = session;
+  if (delayed_answers_ > 0) {
+    --delayed_answers_;
+    const std::uint64_t number = next_delayed_++;
+    delayed_to_[number] = session;
     loading_timers_.push_back(host_.timer([this, number, a] {
-      const auto to = late_to_.find(number);
-      if (to == late_to_.end()) return;
+      const auto to = delayed_to_.find(number);
+      if (to == delayed_to_.end()) return;
       to->second->send(a);
-      late_to_.erase(to);
+      delayed_to_.erase(to);
     }));
-    return loading_timers_.back()->start(late_by_);
+    return loading_timers_.back()->start(answer_delay_);
   }
-  const bool again = twice_ > 0 && twice_-- > 0;
-  say(session, a);
-  if (again) say(session, a);
+  const bool again = duplicate_answers_ > 0 && duplicate_answers_-- > 0;
+  send(session, a);
+  if (again) send(session, a);
 }
 
 // ---- Calls ----------------------------------------------------------------------------------------------
@@ -216,7 +217,7 @@
     refused.kind = AnswerKind::kMiss, refused.reason = "no such function";
     return answer(&session, std::move(refused), call);
   }
-  if (pushed_over(model->second)) {
+  if (overloaded_by(model->second)) {
     tape_.note(host_.now(), "fell", {{"worker", options_.id}});
     return crash();
   }
@@ -244,25 +245,25 @@
   job.others_in_flight = others_in_flight;
   pool.waiting.push_back(id);
   start_waiting();
-  if (take_and_reset_ > 0) {
-    --take_and_reset_;
+  if (reset_after_calls_ > 0) {
+    --reset_after_calls_;
     session.abort();
   }
 }
 
-// Calls get a lane, then a core.
+// Gives waiting calls a lane, then a core.
 void Worker::start_waiting() {
   for (auto& [name, pool] : pools_) {
     const int lanes = pool.ready * options_.functions.at(name).lanes;
     while (!pool.waiting.empty() && pool.running < lanes) {
       ++pool.running;
-      for_core_.push_back(pool.waiting.front());
+      core_queue_.push_back(pool.waiting.front());
       pool.waiting.pop_front();
     }
   }
-  while (!for_core_.empty() && on_core_ < cores_) {
-    const std::uint64_t id = for_core_.front();
-    for_core_.pop_front();
+  while (!core_queue_.empty() && on_core_ < cores_) {
+    const std::uint64_t id = core_queue_.front();
+    core_queue_.pop_front();
     if (auto it = jobs_.find(id); it != jobs_.end()) begin(id, it->second);
   }
 }
@@ -287,7 +288,7 @@
   if (job.version) note["version"] = job.version->name, note["layers"] = job.version->layers;
   tape_.note(host_.now(), repeat ? "dropped" : "ran", std::move(note));
   const double draw = 1 + model.work_spread * (2 * host_.random_unit() - 1);
-  const double took = seconds(model.work) * draw * slow_ / (options_.speed * warmth());
+  const double took = seconds(model.work) * draw * slowdown_ / (options_.speed * warmth());
   job.timer = host_.timer([this, id] { finish(id); });
   job.timer->start(from_seconds(took));
 }
@@ -295,7 +296,7 @@
 void Worker::finish(std::uint64_t id) {
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
-  auto timer = std::move(it->second.timer);  // it is running this
+  auto timer = std::move(it->second.timer);  // this function runs in its callback
   Job job = std::move(it->second);
   jobs_.erase(it);
   --on_core_;
@@ -306,7 +307,7 @@
   const FunctionModel& model = options_.functions.at(job.call.function);
   worker::Answer a;
   a.id = job.call.id;
-  a.kind = failing_.contains(model.request_class) ? AnswerKind::kError : AnswerKind::kOk;
+  a.kind = failing_classes_.contains(model.request_class) ? AnswerKind::kError : AnswerKind::kOk;
   if (a.kind == AnswerKind::kError) a.reason = "the function failed";
   a.found = job.found;
   a.others_in_flight = static_cast<std::uint8_t>(std::min(job.others_in_flight, 30));
@@ -315,7 +316,7 @@
   if (listener_) start_waiting();
 }
 
-// ---- Copies ---------------------------------------------------------------------------------------------
+// ---- Instances --------------------------------------------------------------------------------------
 
 int Worker::instances(const std::string& function) const {
   const auto it = pools_.find(function);
@@ -329,7 +330,7 @@
   return mb;
 }
 
-// Idle copies go, the one idle longest first; one at work never.
+// Unloads idle instances, the longest idle first, and never a busy one.
 bool Worker::make_room(double mb) {
   while (memory_used() + mb > options_.memory_mb) {
     Pool* oldest = nullptr;
@@ -344,25 +345,25 @@
 }
 
 bool Worker::begin_load(const std::string& name, Pool& pool) {
-  if (load_line_.size() >= 2U * static_cast<std::size_t>(options_.loads_at_once)) return false;
+  if (load_queue_.size() >= 2U * static_cast<std::size_t>(options_.loads_at_once)) return false;
   if (!make_room(options_.functions.at(name).memory_mb)) return false;
   ++pool.loading;
-  load_line_.push_back(name);
+  load_queue_.push_back(name);
   next_load();
   return true;
 }
 
 void Worker::next_load() {
-  while (loads_ < options_.loads_at_once && !load_line_.empty()) {
-    const std::string name = std::move(load_line_.front());
-    load_line_.pop_front();
+  while (loads_ < options_.loads_at_once && !load_queue_.empty()) {
+    const std::string name = std::move(load_queue_.front());
+    load_queue_.pop_front();
     ++loads_;
     const FunctionModel& model = options_.functions.at(name);
-    auto start = [this, name, life = life_, takes = model.start](bool fetched) {
-      if (life != life_) return;
+    auto start = [this, name, incarnation = incarnation_, takes = model.start](bool fetched) {
+      if (incarnation != incarnation_) return;
       if (!fetched) return loaded(name, false);
-      loading_timers_.push_back(host_.timer([this, name, life] {
-        if (life == life_) loaded(name, !load_fails_);
+      loading_timers_.push_back(host_.timer([this, name, incarnation] {
+        if (incarnation == incarnation_) loaded(name, !load_fails_);
       }));
       loading_timers_.back()->start(takes);
     };
@@ -377,17 +378,17 @@
   }
 }
 
-// A pin of the current version, unless copies of one are here already: a pool is of one version at a time.
-void Worker::fetch(const std::string& name, std::function<void(bool well)> done) {
+// Pins and reads the current version, unless the pool has one: all instances of a pool share a version.
+void Worker::fetch(const std::string& name, std::function<void(bool success)> done) {
   if (pools_[name].version) {
     loading_timers_.push_back(host_.timer([done = std::move(done)] { done(true); }));
     return loading_timers_.back()->start(Duration(0));
   }
   agent_->pin(
       name, {}, layers::Level::kHold, std::chrono::seconds(30),
-      [this, name, life = life_, done = std::move(done)](const std::optional<layers::Snapshot>& s,
-                                                         std::string why) {
-        if (life != life_) return;
+      [this, name, incarnation = incarnation_, done = std::move(done)](
+          const std::optional<layers::Snapshot>& s, std::string why) {
+        if (incarnation != incarnation_) return;
         auto version = s ? read(*s, why) : nullptr;
         if (!version)
           tape_.note(host_.now(), "load-failed", {{"worker", options_.id}, {"function", name}, {"why", why}});
@@ -418,37 +419,37 @@
   return version;
 }
 
-// A newer version is whole on the box: it is loaded beside the old one, which serves until it stands. What
-// runs goes on with what it began with.
+// Loads a newer version once it is complete on the machine. The old one serves until the new one is loaded,
+// and running calls finish on the version that they began with.
 void Worker::on_releases(const std::vector<layers::ReleaseNews>& all) {
   for (const layers::ReleaseNews& r : all) {
     const auto it = pools_.find(r.function);
-    if (!r.whole || it == pools_.end() || !it->second.version || it->second.renewing ||
+    if (!r.whole || it == pools_.end() || !it->second.version || it->second.updating ||
         it->second.version->release >= r.release)
       continue;
-    it->second.renewing = true;
-    agent_->pin(
-        r.function, r.version, layers::Level::kRenewal, std::chrono::seconds(30),
-        [this, name = r.function, life = life_](const std::optional<layers::Snapshot>& s, std::string why) {
-          if (life != life_) return;
-          auto version = s ? read(*s, why) : nullptr;
-          loading_timers_.push_back(host_.timer([this, name, life, version] {
-            if (life != life_) return;
-            Pool& pool = pools_[name];
-            pool.renewing = false;
-            if (version && pool.version) pool.version = version;
-          }));
-          loading_timers_.back()->start(options_.functions.at(name).start);
-        });
+    it->second.updating = true;
+    agent_->pin(r.function, r.version, layers::Level::kRenewal, std::chrono::seconds(30),
+                [this, name = r.function, incarnation = incarnation_](
+                    const std::optional<layers::Snapshot>& s, std::string why) {
+                  if (incarnation != incarnation_) return;
+                  auto version = s ? read(*s, why) : nullptr;
+                  loading_timers_.push_back(host_.timer([this, name, incarnation, version] {
+                    if (incarnation != incarnation_) return;
+                    Pool& pool = pools_[name];
+                    pool.updating = false;
+                    if (version && pool.version) pool.version = version;
+                  }));
+                  loading_timers_.back()->start(options_.functions.at(name).start);
+                });
   }
 }
 
-void Worker::loaded(const std::string& name, bool well) {
+void Worker::loaded(const std::string& name, bool success) {
   --loads_;
   Pool& pool = pools_[name];
   --pool.loading;
-  tape_.note(host_.now(), "loaded", {{"worker", options_.id}, {"function", name}, {"well", well}});
-  if (well) {
+  tape_.note(host_.now(), "loaded", {{"worker", options_.id}, {"function", name}, {"well", success}});
+  if (success) {
     ++pool.ready;
     pool.idle_since = host_.now();
   } else if (pool.ready == 0 && pool.loading == 0) {
@@ -463,9 +464,9 @@
       answer(job.session, std::move(a), job.call);
     }
   }
-  if (!well)
+  if (!success)
     for (const Order& o : std::exchange(pool.orders, {}))
-      say(o.session, worker::Held{o.order, HeldKind::kLoadFailed, static_cast<std::uint8_t>(pool.ready)});
+      send(o.session, worker::Held{o.order, HeldKind::kLoadFailed, static_cast<std::uint8_t>(pool.ready)});
   settle_orders(name, pool);
   next_load();
   start_waiting();
@@ -480,28 +481,28 @@
               {"count", hold.instances}});
   const auto model = options_.functions.find(hold.function);
   if (model == options_.functions.end())
-    return say(&session, worker::Held{hold.order, HeldKind::kLoadFailed, 0});
+    return send(&session, worker::Held{hold.order, HeldKind::kLoadFailed, 0});
   Pool& pool = pools_[hold.function];
   const int wanted = std::min<int>(hold.instances, 16);
   if (wanted > 0) pool.idle_since = host_.now();
   if (wanted > 0 && draining_)
-    return say(&session, worker::Held{hold.order, HeldKind::kFull, static_cast<std::uint8_t>(pool.ready)});
+    return send(&session, worker::Held{hold.order, HeldKind::kFull, static_cast<std::uint8_t>(pool.ready)});
   while (pool.ready + pool.loading < wanted)
     if (!begin_load(hold.function, pool))
-      return say(&session, worker::Held{hold.order, HeldKind::kFull, static_cast<std::uint8_t>(pool.ready)});
+      return send(&session, worker::Held{hold.order, HeldKind::kFull, static_cast<std::uint8_t>(pool.ready)});
   pool.orders.push_back({&session, hold.order, wanted});
   settle_orders(hold.function, pool);
 }
 
 void Worker::settle_orders(const std::string&, Pool& pool) {
-  std::vector<Order> stand;
+  std::vector<Order> settled;
   std::erase_if(pool.orders, [&](const Order& o) {
     if (pool.ready < o.wanted) return false;
-    stand.push_back(o);
+    settled.push_back(o);
     return true;
   });
-  for (const Order& o : stand)
-    say(o.session, worker::Held{o.order, HeldKind::kOk, static_cast<std::uint8_t>(pool.ready)});
+  for (const Order& o : settled)
+    send(o.session, worker::Held{o.order, HeldKind::kOk, static_cast<std::uint8_t>(pool.ready)});
 }
 
 void Worker::sweep() {
@@ -517,7 +518,7 @@
     loading_timers_.erase(loading_timers_.begin(), loading_timers_.begin() + 2048);
   std::erase_if(keys_, [&](const auto& k) { return host_.now() - k.second > 2 * key_window_; });
   start_waiting();
-  sweep_->start(kSweepEvery);
+  sweep_->start(kSweepInterval);
 }
 
 // ---- Load -----------------------------------------------------------------------------------------------
@@ -525,7 +526,7 @@
 int Worker::busy() const { return std::min(on_core_, cores_); }
 
 worker::Report Worker::report() const {
-  std::size_t waiting = for_core_.size();
+  std::size_t waiting = core_queue_.size();
   for (const auto& [name, p] : pools_) waiting += p.waiting.size();
   auto field = [](worker::ReportField f, double v) {
     return std::pair(static_cast<std::uint8_t>(f), static_cast<float>(v));
@@ -535,7 +536,7 @@
               field(worker::ReportField::kWaiting, static_cast<double>(waiting)),
               field(worker::ReportField::kBusyCores, static_cast<double>(busy()) / cores_),
               field(worker::ReportField::kMemoryAtWork, memory_used() / options_.memory_mb),
-              field(worker::ReportField::kLoads, loads_ + static_cast<double>(load_line_.size()))};
+              field(worker::ReportField::kLoads, loads_ + static_cast<double>(load_queue_.size()))};
   return r;
 }
 
@@ -545,18 +546,18 @@
   return age >= 1 ? 1 : options_.cold_capacity_share + (1 - options_.cold_capacity_share) * age;
 }
 
-// Rule 4's budget: the work sent within any window of the stated length, against what it can do just now.
-bool Worker::pushed_over(const FunctionModel& model) {
+// Rule 4: compares the work sent within the overload window with the worker's capacity at its current warmth.
+bool Worker::overloaded_by(const FunctionModel& model) {
   if (options_.overload_multiple <= 0 || warmth() >= 1) return false;
   const Time now = host_.now();
   cold_work_.emplace_back(now, seconds(model.work));
   while (now - cold_work_.front().first > options_.overload_duration) cold_work_.pop_front();
   double sent = 0;
   for (const auto& [at, work] : cold_work_) sent += work;
-  const double slack = 3 * seconds(model.work);  // chance: a few calls side by side prove nothing
-  const double bears = options_.overload_multiple * warmth() * options_.cores * options_.speed *
-                       seconds(options_.overload_duration);
-  return sent > bears + slack;
+  const double slack = 3 * seconds(model.work);  // a few concurrent calls are no overload
+  const double capacity = options_.overload_multiple * warmth() * options_.cores * options_.speed *
+                          seconds(options_.overload_duration);
+  return sent > capacity + slack;
 }
 
 }  // namespace laureltide::standin
--- a/tests/standin/broker_test.cpp
+++ b/tests/standin/broker_test.cpp
@@ -1,4 +1,4 @@
-// The stand-in broker keeps to the specification: what a client library expects of any broker.
+// Checks the stand-in broker against the AMQP specification, as far as client libraries rely on it.
 #include "standin/broker.h"
 
 #include <gtest/gtest.h>
@@ -85,7 +85,7 @@
   void SetUp() override { ASSERT_TRUE(broker.listen(kAt)); }
 };
 
-TEST_F(BrokerTest, ExchangesOfAllTypesRoute) {
+TEST_F(BrokerTest, RoutesByEveryExchangeType) {
   Client c(net);
   for (const char* q : {"d", "f", "t", "h"}) c.queue(q);
   c.ask<QueueBindOk>(QueueBind{0, "d", "amq.direct", "red", false, {}});
@@ -108,7 +108,7 @@
   for (const char* q : {"d", "f", "t", "h"}) EXPECT_EQ(broker.depth(q), 0U) << q;
 }
 
-TEST_F(BrokerTest, TopicPatterns) {
+TEST_F(BrokerTest, MatchesTopicPatterns) {
   EXPECT_TRUE(topic_matches("#", ""));
   EXPECT_TRUE(topic_matches("#", "a.b.c"));
   EXPECT_TRUE(topic_matches("a.#", "a"));
@@ -121,7 +121,7 @@
   EXPECT_FALSE(topic_matches("a.#.z", "a.b"));
 }
 
-TEST_F(BrokerTest, UnackedMessagesComeAgainInTheirPlaceWithTheMark) {
+TEST_F(BrokerTest, RequeuesUnackedMessagesInOrderAsRedelivered) {
   Client c(net);
   c.queue("q");
   for (const char* body : {"1", "2", "3"}) c.publish("", "q", body);
@@ -139,7 +139,7 @@
   EXPECT_FALSE(std::get<BasicGetOk>(c.contents.back().first).redelivered);
 }
 
-TEST_F(BrokerTest, PrefetchHoldsBack) {
+TEST_F(BrokerTest, LimitsUnackedMessagesToPrefetch) {
   Client c(net);
   c.queue("q");
   c.ask<BasicQosOk>(BasicQos{0, 2, false});
@@ -158,7 +158,7 @@
   EXPECT_TRUE(std::get<BasicDeliver>(c.contents.back().first).redelivered);
 }
 
-TEST_F(BrokerTest, ExpiredMessagesAreNotGiven) {
+TEST_F(BrokerTest, DoesNotDeliverExpiredMessages) {
   Client c(net);
   c.queue("q");
   Properties p;
@@ -172,7 +172,7 @@
   EXPECT_EQ(c.closed[0], 406);
 }
 
-TEST_F(BrokerTest, TransactionsAreSeenWholeOrNotAtAll) {
+TEST_F(BrokerTest, AppliesTransactionsAtomically) {
   Client c(net), other(net);
   c.queue("q"), c.queue("in");
   c.publish("", "in", "work");
@@ -194,7 +194,7 @@
   EXPECT_EQ(broker.unacked("in"), 0U);
 }
 
-TEST_F(BrokerTest, ConfirmsAndReturns) {
+TEST_F(BrokerTest, ReturnsUnroutableMessageBeforeConfirm) {
   Client c(net);
   c.ask<ConfirmSelectOk>(ConfirmSelect{});
   c.publish("", "nobody", "lost", {}, true);
@@ -207,7 +207,7 @@
   EXPECT_EQ(c.closed[0], 406);
 }
 
-TEST_F(BrokerTest, ErrorsHaveTheirCodes) {
+TEST_F(BrokerTest, ClosesChannelWithSpecifiedErrorCode) {
   struct Case {
     Method method;
     std::uint16_t code;
@@ -230,7 +230,7 @@
   }
 }
 
-TEST_F(BrokerTest, ExclusiveQueuesGoWithTheirConnectionAndAutoDeleteWithTheirLastConsumer) {
+TEST_F(BrokerTest, DeletesExclusiveQueueWithItsConnection) {
   Client c(net);
   {
     Client owner(net);
