--- a/src/apps/play.cpp
+++ b/src/apps/play.cpp
@@ -347,7 +347,7 @@
     // Popularity falls with the square root of the rank; a hot function takes its part of the class.
     auto function = static_cast<int>(unit() * unit() * chosen->functions);
     for (const Trouble& t : day_.troubles)
-      if (t.kind == TroubleKind::kHotKey && at >= t.at && at < t.at + t.length && unit() < t.part)
+      if (t.kind == TroubleKind::kHotKey && at >= t.at && at < t.at + t.length && unit() < t.share)
         function = chosen->functions - 1;
     lt::standin::CallToMake call;
     call.name = "c-" + std::to_string(++named_);
