--- a/src/apps/laureltide.cpp
+++ b/src/apps/laureltide.cpp
@@ -1,4 +1,5 @@
-// laureltide: the gateway's program.
+// laureltide: the gateway's command line. `serve` runs the gateway; `check`, `key`, `ledger`, `layers` and
+// `node` are the other subcommands.
 
 #include <openssl/rand.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -36,46 +37,47 @@
   return in ? text.str() : std::string();
 }
 
-// Stores the newest text given to it, on its own thread: the loop never waits for a disk.
-class Keeper {
+// Writes the most recent worker list to a file on its own thread, so that the event loop never blocks on disk
+// I/O.
+class WorkerListCache {
  public:
-  explicit Keeper(std::string path)
+  explicit WorkerListCache(std::string path)
       : path_(std::move(path)), thread_([this](std::stop_token s) { run(s); }) {}
-  void keep(std::string text) {
+  void store(std::string text) {
     const std::lock_guard lock(mutex_);
     text_ = std::move(text);
-    woken_.notify_one();
+    wakeup_.notify_one();
   }
 
  private:
   void run(const std::stop_token& stop) {
     std::unique_lock lock(mutex_);
-    while (woken_.wait(lock, stop, [this] { return text_.has_value(); })) {
+    while (wakeup_.wait(lock, stop, [this] { return text_.has_value(); })) {
       const std::string text = *std::exchange(text_, std::nullopt);
       lock.unlock();
       std::error_code error;
-      const std::string fresh = path_ + ".new";
-      bool well = false;
+      const std::string temporary_path = path_ + ".new";
+      bool written_ok = false;
       {
-        std::ofstream out(fresh, std::ios::binary);
+        std::ofstream out(temporary_path, std::ios::binary);
         out << text;
         out.flush();
-        well = out.good();
+        written_ok = out.good();
       }
-      if (well) std::filesystem::rename(fresh, path_, error);
-      if (!well || error) spdlog::warn("the list could not be cached in {}", path_);
+      if (written_ok) std::filesystem::rename(temporary_path, path_, error);
+      if (!written_ok || error) spdlog::warn("cannot write the worker list cache {}", path_);
       lock.lock();
     }
   }
 
   std::string path_;
   std::mutex mutex_;
-  std::condition_variable_any woken_;
+  std::condition_variable_any wakeup_;
   std::optional<std::string> text_;
   std::jthread thread_;
 };
 
-spdlog::level::level_enum level_of(const std::string& name) { return spdlog::level::from_str(name); }
+spdlog::level::level_enum parse_log_level(const std::string& name) { return spdlog::level::from_str(name); }
 
 lt::store::LmdbOptions lmdb_options(const lt::config::Ledger& ledger) {
   using Sync = lt::store::LmdbOptions::Sync;
@@ -88,28 +90,29 @@
   return o;
 }
 
-// For tests: the process kills itself the n-th time that the ledger passes a step, as a crash there would.
-struct DieAt {
+// For tests: the process sends itself SIGKILL when the ledger reaches the step for the n-th time.
+struct CrashPoint {
   std::string step;
   int times = 1;
 };
 
-class Program : public lt::controller::GatewayEvents {
+class GatewayProgram : public lt::controller::GatewayEvents {
  public:
-  Program(std::string file, lt::config::Settings settings, std::uint64_t seed, DieAt die_at)
+  GatewayProgram(std::string file, lt::config::Settings settings, std::uint64_t seed, CrashPoint crash_point)
       : file_(std::move(file)),
         settings_(std::make_shared<lt::config::Settings>(std::move(settings))),
         loop_({settings_->gateway.loopback_only}),
         json_(settings_->log_format == lt::config::LogFormat::kJson) {
     spdlog::set_default_logger(spdlog::stderr_logger_mt("laureltide"));
-    spdlog::set_level(level_of(settings_->log_level));
+    spdlog::set_level(parse_log_level(settings_->log_level));
     spdlog::set_pattern(json_ ? "%v" : "%Y-%m-%dT%H:%M:%S.%e %l %v");
     if (seed == 0) seed = loop_.random();
-    if (!settings_->list.cache.empty()) keeper_ = std::make_unique<Keeper>(settings_->list.cache);
-    if (!settings_->ledger.directory.empty()) open_ledger(std::move(die_at));
+    if (!settings_->list.cache.empty())
+      list_cache_ = std::make_unique<WorkerListCache>(settings_->list.cache);
+    if (!settings_->ledger.directory.empty()) open_ledger(std::move(crash_point));
     gateway_ = std::make_unique<lt::controller::Gateway>(loop_, settings_, *this, seed, 1,
                                                          book_ ? book_.get() : nullptr);
-    poll_ = loop_.timer([this] { poll_list(); });
+    poll_timer_ = loop_.timer([this] { poll_worker_list(); });
   }
 
   int run() {
@@ -121,10 +124,10 @@
     loop_.on_signal(SIGHUP, [this] { reload(); });
     gateway_->start();
     if (gateway_->invoke_listen_failed()) return 1;
-    if (!settings_->list.file.empty()) poll_list();
+    if (!settings_->list.file.empty()) poll_worker_list();
     on_log_line(lt::controller::LogLevel::kInfo, "serving as " + settings_->gateway.name);
     loop_.run();
-    return code_;
+    return exit_code_;
   }
 
   void on_call_finished(const lt::controller::CallSummary& e) override {
@@ -166,14 +169,14 @@
     spdlog::log(to, "{}", doc.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
   }
   void store_worker_list(const std::string& json) override {
-    if (keeper_) keeper_->keep(json);
+    if (list_cache_) list_cache_->store(json);
   }
 
  private:
-  void open_ledger(DieAt die_at) {
-    const auto began = loop_.now();
+  void open_ledger(CrashPoint crash_point) {
+    const auto start_time = loop_.now();
     auto opened = lt::store::open_lmdb(lmdb_options(settings_->ledger),
-                                       [this](std::function<void()> what) { loop_.post(std::move(what)); });
+                                       [this](std::function<void()> task) { loop_.post(std::move(task)); });
     if (!opened.store) throw std::runtime_error(opened.why);
     store_ = std::move(opened.store);
     lt::ledger::BookOptions options;
@@ -183,21 +186,21 @@
     book_ = std::make_unique<lt::ledger::Book>(loop_, *store_, options);
     if (const auto why = book_->load())
       throw std::runtime_error("the ledger in " + settings_->ledger.directory + " cannot be used: " + *why);
-    const double ms = std::chrono::duration<double, std::milli>(loop_.now() - began).count();
+    const double ms = std::chrono::duration<double, std::milli>(loop_.now() - start_time).count();
     on_log_line(lt::controller::LogLevel::kInfo, "ledger: " + std::to_string(book_->records()) +
                                                      " records read in " +
                                                      std::to_string(static_cast<int>(ms)) + " ms");
-    if (!die_at.step.empty())
-      book_->on_step = [die_at](const char* step) mutable {
-        if (die_at.step == step && --die_at.times == 0) raise(SIGKILL);
+    if (!crash_point.step.empty())
+      book_->on_step = [crash_point](const char* step) mutable {
+        if (crash_point.step == step && --crash_point.times == 0) raise(SIGKILL);
       };
   }
   void stop() {
-    if (stopping_++ > 0) return loop_.stop();  // asked twice: at once
+    if (stop_requests_++ > 0) return loop_.stop();  // a second signal exits without draining
     gateway_->drain([this](bool all) {
       on_log_line(all ? lt::controller::LogLevel::kInfo : lt::controller::LogLevel::kWarn,
-                  all ? "all answered; bye" : "time is up with calls unanswered; bye");
-      code_ = all ? 0 : 1;
+                  all ? "all answered; bye" : "drain timed out with unanswered calls; exiting");
+      exit_code_ = all ? 0 : 1;
       loop_.stop();
     });
   }
@@ -207,42 +210,42 @@
       on_log_line(lt::controller::LogLevel::kError, "reload: " + problem.show());
     if (!checked.settings)
       return on_log_line(lt::controller::LogLevel::kError, "reload: the old settings stand");
-    spdlog::set_level(level_of(checked.settings->log_level));
+    spdlog::set_level(parse_log_level(checked.settings->log_level));
     gateway_->reload(std::make_shared<lt::config::Settings>(*checked.settings));
   }
-  void poll_list() {
-    // A small file, read from the page cache: a few microseconds.
+  void poll_worker_list() {
+    // The file is small and read from the page cache, so this blocks the loop for a few microseconds only.
     std::error_code error;
     const auto written = std::filesystem::last_write_time(settings_->list.file, error);
-    if (!error && written != list_written_) {
-      list_written_ = written;
+    if (!error && written != list_modified_) {
+      list_modified_ = written;
       gateway_->apply_worker_list_json(read_file(settings_->list.file));
     }
-    poll_->start(settings_->list.poll);
+    poll_timer_->start(settings_->list.poll);
   }
 
   std::string file_;
   std::shared_ptr<lt::config::Settings> settings_;
   lt::net::Loop loop_;
   bool json_;
-  std::unique_ptr<Keeper> keeper_;
+  std::unique_ptr<WorkerListCache> list_cache_;
   std::unique_ptr<lt::store::Store> store_;
   std::unique_ptr<lt::ledger::Book> book_;
   std::unique_ptr<lt::controller::Gateway> gateway_;
-  std::unique_ptr<lt::io::Timer> poll_;
-  std::filesystem::file_time_type list_written_{};
-  int stopping_ = 0, code_ = 0;
+  std::unique_ptr<lt::io::Timer> poll_timer_;
+  std::filesystem::file_time_type list_modified_{};
+  int stop_requests_ = 0, exit_code_ = 0;
 };
 
-constexpr int kBadSettings = 2;
+constexpr int kExitBadSettings = 2;
 
-std::optional<lt::config::Settings> load_or_tell(const std::string& file) {
+std::optional<lt::config::Settings> load_and_report_problems(const std::string& file) {
   lt::config::Checked checked = lt::config::load(file);
   for (const auto& problem : checked.problems) std::cerr << problem.show() << '\n';
   return std::move(checked.settings);
 }
 
-std::string hex_of(std::string_view bytes) {
+std::string to_hex(std::string_view bytes) {
   std::string hex;
   for (const char c : bytes) {
     constexpr char kDigits[] = "0123456789abcdef";
@@ -252,11 +255,12 @@
   return hex;
 }
 
-int draw_key() {
+int generate_key() {
   unsigned char random[32];
-  if (RAND_bytes(random, sizeof random) != 1) return std::cerr << "no randomness\n", 1;
-  const std::string token = "lt_" + hex_of({reinterpret_cast<const char*>(random), sizeof random});
-  std::cout << "token  " << token << "\nsha256 " << hex_of(lt::controller::sha256(token)) << '\n';
+  if (RAND_bytes(random, sizeof random) != 1)
+    return std::cerr << "the system's random number generator failed\n", 1;
+  const std::string token = "lt_" + to_hex({reinterpret_cast<const char*>(random), sizeof random});
+  std::cout << "token  " << token << "\nsha256 " << to_hex(lt::controller::sha256(token)) << '\n';
   return 0;
 }
 
@@ -271,43 +275,45 @@
       "  laureltide check --config gateway.toml\n"
       "  laureltide serve --config gateway.toml\n"
       "  laureltide ledger list --open /var/lib/laureltide/ledger\n"
-      "Signals to serve: TERM answers all and exits; HUP reads the settings again.");
+      "Signals of serve: TERM answers all open calls, then exits; HUP reloads the settings.");
   std::string file;
   std::uint64_t seed = 0;
   CLI::App* serve = app.add_subcommand("serve", "run the gateway until SIGTERM");
-  serve->add_option("-c,--config", file, "settings (TOML)")->required();
-  serve->add_option("--seed", seed, "of the module's draws; 0 takes one from the system");
-  std::string die_at;
+  serve->add_option("-c,--config", file, "settings file (TOML)")->required();
+  serve->add_option("--seed", seed,
+                    "seed of the decision module's random numbers; 0 takes one from the system");
+  std::string crash_point;
   serve
-      ->add_option("--die-at", die_at,
-                   "for tests: STEP or STEP:N, the ledger's step at which the process kills itself")
+      ->add_option(
+          "--die-at", crash_point,
+          "for tests: STEP or STEP:N, kills the process when the ledger reaches the step (for the N-th time)")
       ->check([](const std::string& text) {
         const std::string step = text.substr(0, text.find(':'));
         for (const char* known : lt::ledger::kSteps)
           if (step == known) return std::string();
-        return "no such step: " + step;
+        return "unknown step: " + step;
       });
   CLI::App* key =
-      app.add_subcommand("key", "draw a bearer key: the token for the client, the hash for [[key]]");
+      app.add_subcommand("key", "generate a bearer key: the token for the client, the hash for [[key]]");
   lt::apps::LedgerTool ledger;
   ledger.add_to(app);
   lt::apps::LayersTool layers;
   layers.add_to(app);
-  CLI::App* check =
-      app.add_subcommand("check", "say every error of a settings file; exit 0 when there is none, else 2");
-  check->add_option("-c,--config", file, "settings (TOML)")->required();
-  CLI::App* node =
-      app.add_subcommand("node", "run as a controller of the platform, told by ROUTER_CONFIG (docs/node.md)");
+  CLI::App* check = app.add_subcommand(
+      "check", "print every error of a settings file; exit status 0 if there is none, else 2");
+  check->add_option("-c,--config", file, "settings file (TOML)")->required();
+  CLI::App* node = app.add_subcommand(
+      "node", "run as a controller of the platform, configured by ROUTER_CONFIG (docs/node.md)");
   bool log_calls = false;
-  node->add_flag("--log-calls", log_calls, "a log line for each call that ends, with its attempts");
+  node->add_flag("--log-calls", log_calls, "log a line for each finished call, with its attempts");
   CLI11_PARSE(app, argc, argv);
 
   if (app.got_subcommand("ledger")) return ledger.run();
   if (app.got_subcommand("layers")) return layers.run();
-  if (*key) return draw_key();
+  if (*key) return generate_key();
   if (*node) return lt::apps::run_node(log_calls);
-  auto settings = load_or_tell(file);
-  if (!settings) return kBadSettings;
+  auto settings = load_and_report_problems(file);
+  if (!settings) return kExitBadSettings;
   if (*check) {
     std::cout << file << ": " << settings->functions.size() << " functions in "
               << settings->class_names.size() << " classes, " << settings->brokers.size()
@@ -315,10 +321,10 @@
     return 0;
   }
   try {
-    DieAt die{die_at.substr(0, die_at.find(':')), 1};
-    if (const auto colon = die_at.find(':'); colon != std::string::npos)
-      die.times = std::max(1, std::atoi(die_at.c_str() + colon + 1));
-    return Program(file, std::move(*settings), seed, std::move(die)).run();
+    CrashPoint die{crash_point.substr(0, crash_point.find(':')), 1};
+    if (const auto colon = crash_point.find(':'); colon != std::string::npos)
+      die.times = std::max(1, std::atoi(crash_point.c_str() + colon + 1));
+    return GatewayProgram(file, std::move(*settings), seed, std::move(die)).run();
   } catch (const std::exception& e) {
     std::cerr << "laureltide: " << e.what() << '\n';
     return 1;
--- a/src/apps/layers.cpp
+++ b/src/apps/layers.cpp
@@ -1,4 +1,5 @@
-// laureltide-layers: the box agent. One for a box; the workers of the box ask it for versions of functions.
+// laureltide-layers: the box agent. One agent per box fetches versions of functions for all workers of the
+// box.
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -20,13 +21,13 @@
   std::string directory, name = "box";
   std::uint16_t port = 0;
   std::vector<std::string> stores;
-  double capacity_mb = 10'240, look_s = 5, lease_s = 10;
+  double capacity_mb = 10'240, release_poll_s = 5, lease_s = 10;
   std::size_t store_at_once = 64;
-  std::string prefix = "functions/", tag = "current";
+  std::string prefix = "functions/", release_tag = "current";
   std::string die_at;
 };
 
-lt::Duration from_s(double s) {
+lt::Duration from_seconds(double s) {
   return std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(s));
 }
 
@@ -40,9 +41,10 @@
   }
   remote_options.name = o.name;
   auto opened =
-      lt::layers::open_disk(o.directory, [&](std::function<void()> what) { loop.post(std::move(what)); });
+      lt::layers::open_disk(o.directory, [&](std::function<void()> task) { loop.post(std::move(task)); });
   if (!opened.disk) return std::cerr << "laureltide-layers: " << opened.why << '\n', 1;
-  if (!o.die_at.empty()) {  // for tests: the process kills itself at the n-th time of a step
+  if (!o.die_at.empty()) {  // for tests: the process sends itself SIGKILL when a step is reached for the n-th
+                            // time
     const std::size_t colon = o.die_at.find(':');
     const int times = colon == std::string::npos ? 1 : std::atoi(o.die_at.c_str() + colon + 1);
     opened.disk->on_step = [step = o.die_at.substr(0, colon),
@@ -52,8 +54,8 @@
   }
   lt::layers::AgentOptions options;
   options.capacity = static_cast<std::uint64_t>(o.capacity_mb * 1048576);
-  options.prefix = o.prefix, options.tag = o.tag;
-  options.look_every = from_s(o.look_s), options.lease = from_s(o.lease_s);
+  options.prefix = o.prefix, options.tag = o.release_tag;
+  options.look_every = from_seconds(o.release_poll_s), options.lease = from_seconds(o.lease_s);
   options.replicas = static_cast<std::uint32_t>(o.stores.size());
   options.scheduler.most_window = static_cast<double>(o.store_at_once);
   lt::layers::OciRemote remote(loop, remote_options);
@@ -69,7 +71,7 @@
   auto drained = loop.timer([&] { loop.stop(); });
   auto stop = [&] {
     server.drain();
-    drained->start(200ms);  // workers ask again, of the next life
+    drained->start(200ms);  // workers repeat their requests to the next process
   };
   loop.on_signal(SIGTERM, stop);
   loop.on_signal(SIGINT, stop);
@@ -86,18 +88,20 @@
       "Example:\n  laureltide-layers --directory /var/lib/laureltide/layers --port 7800 --store "
       "127.0.0.1:5000");
   Options o;
-  app.add_option("--directory", o.directory, "where chunks are kept")->required();
-  app.add_option("--store", o.stores, "ADDRESS:PORT of a store; several are replicas of one")->required();
-  app.add_option("--port", o.port, "of 127.0.0.1; 0 takes a free one, which is printed");
-  app.add_option("--name", o.name, "of this box, which the store is told (User-Agent)");
-  app.add_option("--capacity-mb", o.capacity_mb, "of all chunks")->check(CLI::Range(1.0, 1e9));
-  app.add_option("--store-at-once", o.store_at_once, "fetches at most")->check(CLI::Range(1, 1024));
-  app.add_option("--look-s", o.look_s, "how often the release of a function in use is looked up")
+  app.add_option("--directory", o.directory, "directory of the chunk store")->required();
+  app.add_option("--store", o.stores, "ADDRESS:PORT of a store; several addresses are replicas of one store")
+      ->required();
+  app.add_option("--port", o.port, "port on 127.0.0.1; 0 takes a free port and prints it");
+  app.add_option("--name", o.name, "name of this box, sent to the store (User-Agent)");
+  app.add_option("--capacity-mb", o.capacity_mb, "total size of all chunks")->check(CLI::Range(1.0, 1e9));
+  app.add_option("--store-at-once", o.store_at_once, "limit of concurrent fetches")
+      ->check(CLI::Range(1, 1024));
+  app.add_option("--look-s", o.release_poll_s, "how often the release of a function in use is checked")
       ->check(CLI::Range(0.05, 86'400.0));
-  app.add_option("--lease-s", o.lease_s, "how long a silent worker keeps its pins")
+  app.add_option("--lease-s", o.lease_s, "how long an unresponsive worker keeps its pins")
       ->check(CLI::Range(1.0, 3600.0));
-  app.add_option("--prefix", o.prefix, "of the functions' repositories");
-  app.add_option("--tag", o.tag, "that names a function's release");
+  app.add_option("--prefix", o.prefix, "prefix of the functions' repositories");
+  app.add_option("--tag", o.release_tag, "tag of a function's current release");
   app.add_option("--die-at", o.die_at)->group("");
   CLI11_PARSE(app, argc, argv);
   try {
--- a/src/apps/layers_tool.cpp
+++ b/src/apps/layers_tool.cpp
@@ -15,38 +15,40 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-// One request after the other: a tool may wait.
-class Pusher {
+// Client of a store's OCI distribution API. Sends one request at a time and blocks until its response.
+class RegistryClient {
  public:
-  Pusher(io::Address store, std::string repository)
+  RegistryClient(io::Address store, std::string repository)
       : store_(std::move(store)), repository_(std::move(repository)) {}
 
-  // A reason if the store does not take it. What it has already is not sent.
-  std::string blob(const layers::Digest& digest, const std::string& bytes) {
+  // Uploads a blob unless the store has it already. Returns an error message, empty on success.
+  std::string push_blob(const layers::Digest& digest, const std::string& bytes) {
     const std::string base = "/v2/" + repository_ + "/blobs/";
-    if (ask("HEAD", base + digest.text(), "").status == 200) return {};
-    const http::Exchange::Result begun = ask("POST", base + "uploads/", "");
-    const std::string* place = begun.headers.find("Location");
-    if (begun.status != 202 || !place) return said(begun, "no upload was begun");
-    std::string to = *place;
+    if (send_request("HEAD", base + digest.text(), "").status == 200) return {};
+    const http::Exchange::Result upload = send_request("POST", base + "uploads/", "");
+    const std::string* location = upload.headers.find("Location");
+    if (upload.status != 202 || !location)
+      return failure_message(upload, "the store did not start an upload");
+    std::string to = *location;
     if (const auto url = http::parse_url(to)) to = url->target;
     to += (to.find('?') == std::string::npos ? "?digest=" : "&digest=") + http::percent_encode(digest.text());
-    const http::Exchange::Result put = ask("PUT", to, bytes, "application/octet-stream");
-    if (put.status != 201) return said(put, "a blob was not taken");
-    ++sent_, sent_bytes_ += bytes.size();
+    const http::Exchange::Result put = send_request("PUT", to, bytes, "application/octet-stream");
+    if (put.status != 201) return failure_message(put, "the store rejected a blob");
+    ++pushed_, pushed_bytes_ += bytes.size();
     return {};
   }
-  std::string manifest(const std::string& tag, const std::string& bytes) {
+  // Uploads the manifest under a tag. Returns an error message, empty on success.
+  std::string push_manifest(const std::string& tag, const std::string& bytes) {
     const http::Exchange::Result put =
-        ask("PUT", "/v2/" + repository_ + "/manifests/" + tag, bytes, layers::kManifestType);
-    return put.status == 201 ? "" : said(put, "the manifest was not taken");
+        send_request("PUT", "/v2/" + repository_ + "/manifests/" + tag, bytes, layers::kManifestType);
+    return put.status == 201 ? "" : failure_message(put, "the store rejected the manifest");
   }
-  std::uint64_t sent() const { return sent_; }
-  std::uint64_t sent_bytes() const { return sent_bytes_; }
+  std::uint64_t pushed() const { return pushed_; }
+  std::uint64_t pushed_bytes() const { return pushed_bytes_; }
 
  private:
-  http::Exchange::Result ask(const char* method, const std::string& target, const std::string& body,
-                             const char* type = nullptr) {
+  http::Exchange::Result send_request(const char* method, const std::string& target, const std::string& body,
+                                      const char* type = nullptr) {
     http::Request request;
     request.method = method, request.target = target, request.body = body;
     request.headers.add("Host", store_.text());
@@ -60,7 +62,7 @@
     loop_.run();
     return result;
   }
-  static std::string said(const http::Exchange::Result& r, const std::string& what) {
+  static std::string failure_message(const http::Exchange::Result& r, const std::string& what) {
     return what + ": " +
            (r.status == 0 ? r.why : "status " + std::to_string(r.status) + " " + r.body.substr(0, 300));
   }
@@ -68,35 +70,36 @@
   io::Address store_;
   std::string repository_;
   net::Loop loop_;
-  std::uint64_t sent_ = 0, sent_bytes_ = 0;
+  std::uint64_t pushed_ = 0, pushed_bytes_ = 0;
 };
 
 }  // namespace
 
 void LayersTool::add_to(CLI::App& app) {
-  CLI::App* all = app.add_subcommand("layers", "pack functions in chunked layers, push and look at them");
+  CLI::App* all = app.add_subcommand("layers", "pack functions into chunked layers, push and inspect them");
   all->require_subcommand(1);
-  auto sub = [&](const char* name, const char* what) {
+  auto add_command = [&](const char* name, const char* what) {
     CLI::App* s = all->add_subcommand(name, what);
-    s->add_option("directory", directory, "an OCI image layout")->required();
+    s->add_option("directory", directory, "directory of an OCI image layout")->required();
     return s;
   };
-  pack = sub("pack", "make a version of files, a layer each");
+  pack = add_command("pack", "pack files into a version of a function, one layer per file");
   pack->add_option("files", files, "PATH or TITLE=PATH")->required();
-  pack->add_option("--function", function, "whose version it is")->required();
-  pack->add_option("--release", release, "higher than any of it before, also to go back to old files")
+  pack->add_option("--function", function, "name of the function")->required();
+  pack->add_option("--release", release,
+                   "release number, higher than all earlier ones of the function (also for a rollback)")
       ->required();
-  pack->add_option("--average-kb", average_kb, "of a chunk: a power of two from 4 to 4096");
-  pack->add_option("--level", level, "of zstd")->check(CLI::Range(1, 19));
-  push = sub("push", "give it to a store; its tag then names it");
+  pack->add_option("--average-kb", average_kb, "average chunk size: a power of two from 4 to 4096");
+  pack->add_option("--level", level, "zstd compression level")->check(CLI::Range(1, 19));
+  push = add_command("push", "push the version to a store and set the tag to it");
   push->add_option("--store", store, "ADDRESS:PORT")->required();
-  push->add_option("--prefix", prefix, "of the functions' repositories");
-  push->add_option("--tag", tag, "that boxes look at");
-  inspect = sub("inspect", "tell layers and chunks");
-  inspect->add_option("--against", against, "another layout: what a box that holds it would still fetch");
-  inspect->add_flag("--json", json, "as JSON");
-  verify =
-      sub("verify", "unpack every chunk against its digests; exit 1 and say what is wrong if anything is");
+  push->add_option("--prefix", prefix, "prefix of the functions' repositories");
+  push->add_option("--tag", tag, "tag that boxes follow");
+  inspect = add_command("inspect", "print layers and chunks");
+  inspect->add_option("--against", against, "another layout: prints what a box that holds it would fetch");
+  inspect->add_flag("--json", json, "print JSON");
+  verify = add_command(
+      "verify", "unpack every chunk and check its digests; prints damage and exits with 1 if there is any");
 }
 
 int LayersTool::run() const {
@@ -111,7 +114,7 @@
     return std::cerr << "laureltide layers: --average-kb: expected a power of two from 4 to 4096\n", 2;
   if (!layers::valid_repository(prefix + function))
     return std::cerr << "laureltide layers: --function: " << prefix + function
-                     << " is no name of a repository\n",
+                     << " is not a valid repository name\n",
            2;
   std::vector<layers::LayerFile> inputs;
   for (const std::string& file : files) {
@@ -132,23 +135,24 @@
     return std::cerr << "laureltide layers: --store: expected ADDRESS:PORT, found " << store << '\n', 2;
   std::string why;
   const auto layout = layers::read_layout(directory, why);
-  if (layout) why = layers::verify_layout(*layout);  // nothing broken is published
+  if (layout) why = layers::verify_layout(*layout);  // a damaged layout is not published
   if (!why.empty()) return std::cerr << "laureltide layers: " << why << '\n', 1;
-  Pusher pusher(*address, prefix + layout->manifest.function);
-  auto give = [&](const layers::Digest& digest) {
+  RegistryClient registry(*address, prefix + layout->manifest.function);
+  auto push_file = [&](const layers::Digest& digest) {
     const auto bytes = layers::read_file(layers::blob_path(directory, digest));
-    return bytes ? pusher.blob(digest, *bytes) : "a blob is missing: " + digest.text();
+    return bytes ? registry.push_blob(digest, *bytes) : "a blob is missing: " + digest.text();
   };
-  why = pusher.blob(layers::digest_of("{}"), "{}");
+  why = registry.push_blob(layers::digest_of("{}"), "{}");
   for (const layers::LayerRef& layer : layout->manifest.layers) {
-    if (why.empty()) why = give(layer.blob);
-    if (why.empty()) why = give(layer.index);
+    if (why.empty()) why = push_file(layer.blob);
+    if (why.empty()) why = push_file(layer.index);
   }
-  if (why.empty()) why = pusher.manifest(tag, layout->manifest_bytes);  // last: what it names is there
+  if (why.empty())
+    why = registry.push_manifest(tag, layout->manifest_bytes);  // last, so that all blobs it references exist
   if (!why.empty()) return std::cerr << "laureltide layers: " << why << '\n', 1;
   std::cout << layout->manifest.function << " release " << layout->manifest.release << " is "
-            << layers::digest_of(layout->manifest_bytes).text() << "; " << pusher.sent() << " blobs, "
-            << pusher.sent_bytes() << " bytes were new to the store\n";
+            << layers::digest_of(layout->manifest_bytes).text() << "; " << registry.pushed() << " blobs, "
+            << registry.pushed_bytes() << " bytes were new to the store\n";
   return 0;
 }
 
--- a/src/apps/layers_tool.h
+++ b/src/apps/layers_tool.h
@@ -1,4 +1,5 @@
-// `laureltide layers ...`: packs functions for a store of the OCI distribution API, pushes and looks at them.
+// `laureltide layers ...`: packs functions into chunked layers, inspects and verifies them, and pushes them
+// to a store (OCI distribution API).
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -7,6 +8,7 @@
 
 namespace laureltide::apps {
 
+// Options and subcommands of `laureltide layers`.
 struct LayersTool {
   std::string directory, against, function, store, prefix = "functions/", tag = "current";
   std::vector<std::string> files;
@@ -17,7 +19,8 @@
   CLI::App *pack = nullptr, *push = nullptr, *inspect = nullptr, *verify = nullptr;
 
   void add_to(CLI::App& app);
-  // Exit status: 0 well, 1 damaged, not found or not taken by the store, 2 wrong use.
+  // Returns the exit status: 0 on success, 1 if a layout is damaged or not found or the store rejects it, 2
+  // on wrong usage.
   int run() const;
 
  private:
--- a/src/apps/ledger_tool.cpp
+++ b/src/apps/ledger_tool.cpp
@@ -14,7 +14,7 @@
 using ledger::Record;
 using nlohmann::json;
 
-std::string time_of(std::int64_t ms) {
+std::string format_time(std::int64_t ms) {
   if (ms <= 0) return "-";
   const std::time_t s = static_cast<std::time_t>(ms / 1000);
   std::tm utc{};
@@ -24,20 +24,20 @@
   return text;
 }
 
-const char* kind_of(const ledger::Answer& a) {
+const char* outcome_name(const ledger::Answer& a) {
   return a.kind == ledger::Answer::Kind::kServed    ? "served"
          : a.kind == ledger::Answer::Kind::kRefused ? "refused"
                                                     : "failed";
 }
 
-// In the words of docs/ledger.md.
-std::string state_of(const Record& r) {
-  if (r.answer) return std::string(r.delivered ? "delivered " : "answered ") + kind_of(*r.answer);
+// The state names of docs/ledger.md.
+std::string call_state(const Record& r) {
+  if (r.answer) return std::string(r.delivered ? "delivered " : "answered ") + outcome_name(*r.answer);
   if (r.may_have_run()) return "may-have-run";
   return r.attempts.empty() ? "taken" : "never-ran";
 }
 
-json json_of(const std::string& front, const std::string& name, const Record& r) {
+json record_to_json(const std::string& front, const std::string& name, const Record& r) {
   json attempts = json::array();
   for (const auto& a : r.attempts)
     attempts.push_back({{"worker", a.worker},
@@ -45,7 +45,7 @@
                         {"fate", a.fate == Fate::kNeverRan ? "never-ran" : "may-have-run"}});
   json doc{{"front", front},
            {"call", name},
-           {"state", state_of(r)},
+           {"state", call_state(r)},
            {"function", r.function},
            {"tenant", r.tenant},
            {"key", r.key},
@@ -55,7 +55,7 @@
            {"body_bytes", r.body.size()},
            {"attempts", attempts}};
   if (r.answer)
-    doc["answer"] = {{"outcome", kind_of(*r.answer)},
+    doc["answer"] = {{"outcome", outcome_name(*r.answer)},
                      {"reason", r.answer->reason},
                      {"bytes", r.answer->body.size()},
                      {"at_ms", r.answer->at_ms}};
@@ -70,22 +70,24 @@
 }  // namespace
 
 void LedgerTool::add_to(CLI::App& app) {
-  CLI::App* all = app.add_subcommand("ledger", "look into a ledger's directory, also while it is in use");
+  CLI::App* all = app.add_subcommand("ledger", "inspect a ledger's directory, also while a gateway uses it");
   all->require_subcommand(1);
-  auto sub = [&](const char* what, const char* help) {
+  auto add_command = [&](const char* what, const char* help) {
     CLI::App* s = all->add_subcommand(what, help);
-    s->add_option("directory", directory, "as in ledger.directory of the settings")->required();
+    s->add_option("directory", directory, "the directory, ledger.directory in the settings")->required();
     return s;
   };
-  list = sub("list", "a line for each record");
+  list = add_command("list", "print a line for each record");
   list->add_flag("--open", open_only, "only calls without a final answer");
-  list->add_option("--front", front, "only of fronts that begin so, such as amqp/main/");
-  list->add_flag("--json", json, "lines of JSON");
-  show = sub("show", "all that is known of one call");
-  show->add_option("call", name, "its name")->required();
-  show->add_option("--front", front, "only of fronts that begin so");
-  verify = sub("verify", "read every page and record; exit 1 and say what is wrong if anything is");
-  compact = sub("compact", "write a compact copy into a new directory: a backup, or a smaller ledger");
+  list->add_option("--front", front, "only records whose front begins with this text, such as amqp/main/");
+  list->add_flag("--json", json, "print a line of JSON for each record");
+  show = add_command("show", "print the whole record of a call");
+  show->add_option("call", name, "the call's name")->required();
+  show->add_option("--front", front, "only records whose front begins with this text");
+  verify =
+      add_command("verify", "read every page and record; prints damage and exits with 1 if there is any");
+  compact = add_command("compact",
+                        "write a compact copy into a new directory, as a backup or to shrink the ledger");
   compact->add_option("to", to, "the new directory")->required();
 }
 
@@ -97,31 +99,31 @@
     if (!why.empty()) return std::cerr << "laureltide ledger: " << why << '\n', 1;
     return std::cout << directory << " copied to " << to << '\n', 0;
   }
-  std::size_t shown = 0, open = 0;
+  std::size_t shown = 0, open_calls = 0;
   const store::Walked walked = store::walk(options, [&](std::string_view key, std::string_view value) {
     std::string why;
     const auto record = ledger::parse_record(value, why);
     const auto [f, n] = ledger::split_key(key);
-    if (!record) return;  // the walk itself tells
-    open += !record->answer;
+    if (!record) return;  // walk() itself reports the damage
+    open_calls += !record->answer;
     if (!f.starts_with(front)) return;
     if (*show && n == name) {
-      std::cout << dump(json_of(f, n, *record), 2) << '\n';
+      std::cout << dump(record_to_json(f, n, *record), 2) << '\n';
       ++shown;
     }
     if (!*list || (open_only && record->answer)) return;
     ++shown;
     if (json)
-      std::cout << dump(json_of(f, n, *record), -1) << '\n';
+      std::cout << dump(record_to_json(f, n, *record), -1) << '\n';
     else
-      std::cout << time_of(record->taken_ms) << "  " << f << "  " << n << "  " << record->function << "  "
-                << state_of(*record) << (record->owed ? "  owed" : "")
+      std::cout << format_time(record->taken_ms) << "  " << f << "  " << n << "  " << record->function << "  "
+                << call_state(*record) << (record->owed ? "  owed" : "")
                 << "  attempts=" << record->attempts.size() << '\n';
   });
   if (!walked.why.empty()) return std::cerr << "laureltide ledger: " << walked.why << '\n', 1;
   if (*show && shown == 0) return std::cerr << "laureltide ledger: no record of call " << name << '\n', 1;
   if (*verify)
-    std::cout << directory << ": " << walked.records << " records (" << open << " without an answer), "
+    std::cout << directory << ": " << walked.records << " records (" << open_calls << " without an answer), "
               << walked.bytes << " bytes in a file of " << walked.file_bytes << ": no damage\n";
   return 0;
 }
--- a/src/apps/play.cpp
+++ b/src/apps/play.cpp
@@ -33,7 +33,7 @@
 
 double ms(lt::Duration d) { return std::chrono::duration<double, std::milli>(d).count(); }
 double s(lt::Duration d) { return std::chrono::duration<double>(d).count(); }
-lt::Duration from_s(double v) {
+lt::Duration from_seconds(double v) {
   return std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(v));
 }
 
@@ -330,7 +330,7 @@
     const lt::Duration now = loop_.now() - start_;
     while (due_ <= now && due_ < day_.length) {
       publish(due_);
-      due_ += from_s(std::max(1e-6, -std::log(1 - unit()) / rate(due_)));
+      due_ += from_seconds(std::max(1e-6, -std::log(1 - unit()) / rate(due_)));
     }
     if (due_ < day_.length) next_call_->start(due_ - now);
   }
--- a/src/apps/tools.cpp
+++ b/src/apps/tools.cpp
@@ -41,17 +41,17 @@
 }
 
 ReservedPort::ReservedPort() : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-  // Bound but not listening: the child's own bind, with the same option, may share it.
-  const int on = 1;
-  setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  socklen_t size = sizeof at;
-  if (fd_ < 0 || bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 ||
-      getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size) != 0)
+  // Bound but not listening: with SO_REUSEADDR on both sockets the child can bind the same port.
+  const int enable = 1;
+  setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof enable);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  socklen_t size = sizeof address;
+  if (fd_ < 0 || bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 ||
+      getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &size) != 0)
     throw std::runtime_error("no free port on 127.0.0.1");
-  port_ = ntohs(at.sin_port);
+  port_ = ntohs(address.sin_port);
 }
 ReservedPort::~ReservedPort() {
   if (fd_ >= 0) close(fd_);
@@ -61,18 +61,18 @@
 
 ChildProcess::ChildProcess(const std::vector<std::string>& command, const std::string& log) {
   int pipes[2];
-  if (pipe2(pipes, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
+  if (pipe2(pipes, O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
   std::vector<char*> argv;
-  for (const std::string& word : command) argv.push_back(const_cast<char*>(word.c_str()));
+  for (const std::string& argument : command) argv.push_back(const_cast<char*>(argument.c_str()));
   argv.push_back(nullptr);
   const pid_t parent = getpid();
   pid_ = fork();
-  if (pid_ < 0) throw std::runtime_error("no process");
+  if (pid_ < 0) throw std::runtime_error("cannot fork");
   if (pid_ == 0) {
-    sigset_t none;  // the parent may hold signals back; the child must hear its own
-    sigemptyset(&none);
-    sigprocmask(SIG_SETMASK, &none, nullptr);
-    prctl(PR_SET_PDEATHSIG, SIGKILL);  // nothing is left behind, however this program ends
+    sigset_t no_signals;  // the child must not inherit signals that the parent blocks
+    sigemptyset(&no_signals);
+    sigprocmask(SIG_SETMASK, &no_signals, nullptr);
+    prctl(PR_SET_PDEATHSIG, SIGKILL);  // the child does not outlive this process, however it ends
     if (getppid() != parent) _exit(127);
     dup2(pipes[1], STDOUT_FILENO);
     const int err =
@@ -84,7 +84,7 @@
     _exit(127);
   }
   close(pipes[1]);
-  out_ = pipes[0];
+  output_fd_ = pipes[0];
 }
 
 ChildProcess::~ChildProcess() {
@@ -92,23 +92,23 @@
     kill(pid_, SIGKILL);
     waitpid(pid_, &status_, 0);
   }
-  close(out_);
+  close(output_fd_);
 }
 
-bool ChildProcess::read_line(std::string& line, Duration most) {
-  const auto until = std::chrono::steady_clock::now() + most;
+bool ChildProcess::read_line(std::string& line, Duration timeout) {
+  const auto deadline = std::chrono::steady_clock::now() + timeout;
   while (true) {
     if (const std::size_t end = buffer_.find('\n'); end != std::string::npos) {
       line = buffer_.substr(0, end);
       buffer_.erase(0, end + 1);
       return true;
     }
-    const auto left =
-        std::chrono::duration_cast<std::chrono::milliseconds>(until - std::chrono::steady_clock::now());
-    pollfd p{out_, POLLIN, 0};
-    if (left.count() <= 0 || poll(&p, 1, static_cast<int>(left.count())) <= 0) return false;
+    const auto remaining =
+        std::chrono::duration_cast<std::chrono::milliseconds>(deadline - std::chrono::steady_clock::now());
+    pollfd ready{output_fd_, POLLIN, 0};
+    if (remaining.count() <= 0 || poll(&ready, 1, static_cast<int>(remaining.count())) <= 0) return false;
     char bytes[4096];
-    const ssize_t n = read(out_, bytes, sizeof bytes);
+    const ssize_t n = read(output_fd_, bytes, sizeof bytes);
     if (n <= 0) return false;
     buffer_.append(bytes, static_cast<std::size_t>(n));
   }
@@ -119,16 +119,16 @@
 }
 
 bool ChildProcess::running() {
-  if (ended_ || pid_ < 0) return false;
+  if (exited_ || pid_ < 0) return false;
   int status = 0;
-  if (waitpid(pid_, &status, WNOHANG) == pid_) ended_ = true, status_ = status;
-  return !ended_;
+  if (waitpid(pid_, &status, WNOHANG) == pid_) exited_ = true, status_ = status;
+  return !exited_;
 }
 
-int ChildProcess::wait(Duration most) {
-  const auto until = std::chrono::steady_clock::now() + most;
-  while (running() && std::chrono::steady_clock::now() < until) usleep(5000);
-  if (!ended_) return -1;
+int ChildProcess::wait(Duration timeout) {
+  const auto deadline = std::chrono::steady_clock::now() + timeout;
+  while (running() && std::chrono::steady_clock::now() < deadline) usleep(5000);
+  if (!exited_) return -1;
   return WIFEXITED(status_) ? WEXITSTATUS(status_) : 128 + WTERMSIG(status_);
 }
 
@@ -138,7 +138,7 @@
 
 std::string create_temp_directory(const std::string& prefix) {
   std::string pattern = (std::filesystem::temp_directory_path() / (prefix + "XXXXXX")).string();
-  if (!mkdtemp(pattern.data())) throw std::runtime_error("no directory " + pattern);
+  if (!mkdtemp(pattern.data())) throw std::runtime_error("cannot create the directory " + pattern);
   return pattern;
 }
 
--- a/src/apps/tools.h
+++ b/src/apps/tools.h
@@ -1,4 +1,4 @@
-// What the stand-ins' and the player's programs share: tapes on disk, child processes, free ports.
+// Helpers of the stand-in and day runner programs: event logs (tapes) on disk, child processes, free ports.
 #pragma once
 
 #include <sys/types.h>
@@ -13,7 +13,7 @@
 
 namespace laureltide::apps {
 
-// Lines of JSON, flushed at each note: a process that is killed loses none.
+// Writes each event as a line of JSON and flushes it, so that a killed process loses no event.
 class FileTape : public standin::Tape {
  public:
   explicit FileTape(const std::string& path);
@@ -23,9 +23,11 @@
  private:
   std::FILE* file_ = nullptr;
 };
+// Reads the events of a tape file; lines that are not JSON objects are skipped.
 std::vector<nlohmann::json> read_tape(const std::string& path);
 
-// A port of 127.0.0.1 that no other program is given while this object lives; a child may listen on it.
+// A free port of 127.0.0.1. The system gives it to no other program while this object exists; a child process
+// may listen on it.
 class ReservedPort {
  public:
   ReservedPort();
@@ -38,29 +40,31 @@
   std::uint16_t port_ = 0;
 };
 
-// A child process that dies with this one. Its standard output comes here a line at a time.
+// A child process, killed when this process ends. Its standard output is read line by line.
 class ChildProcess {
  public:
   ChildProcess(const std::vector<std::string>& command, const std::string& log);
-  ~ChildProcess();  // kills it, if it still runs, and waits
+  ~ChildProcess();  // kills the process if it still runs, and reaps it
   ChildProcess(const ChildProcess&) = delete;
-  // Reads a line of its output; false if it ended, or said nothing for so long.
-  bool read_line(std::string& line, Duration most);
+  // Reads a line of its output; false if the output ended or no line came within `timeout`.
+  bool read_line(std::string& line, Duration timeout);
   void signal(int number);
   bool running();
-  // Waits for its end; the exit status, or -1 after `most`.
-  int wait(Duration most);
+  // Waits for the process to exit; returns its exit status (128 + signal if killed), or -1 after `timeout`.
+  int wait(Duration timeout);
   pid_t pid() const { return pid_; }
 
  private:
   pid_t pid_ = -1;
-  int out_ = -1;
+  int output_fd_ = -1;
   std::string buffer_;
-  bool ended_ = false;
+  bool exited_ = false;
   int status_ = -1;
 };
 
-std::string executable_directory();  // of this program's file
+// The directory of the running executable.
+std::string executable_directory();
+// Creates a new directory for temporary files whose name begins with `prefix`.
 std::string create_temp_directory(const std::string& prefix);
 
 }  // namespace laureltide::apps
