--- a/src/apps/laureltide.cpp
+++ b/src/apps/laureltide.cpp
@@ -43,7 +43,7 @@
  public:
   explicit WorkerListCache(std::string path)
       : path_(std::move(path)), thread_([this](std::stop_token s) { run(s); }) {}
-  void store(std::string text) {
+  void save(std::string text) {
     const std::lock_guard lock(mutex_);
     text_ = std::move(text);
     wakeup_.notify_one();
@@ -169,7 +169,7 @@
     spdlog::log(to, "{}", doc.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
   }
   void store_worker_list(const std::string& json) override {
-    if (list_cache_) list_cache_->store(json);
+    if (list_cache_) list_cache_->save(json);
   }
 
  private:
--- a/src/apps/standin.cpp
+++ b/src/apps/standin.cpp
@@ -29,7 +29,7 @@
   std::string queue = "calls";
   std::uint16_t broker_port = 0;
   double seconds = 0;
-  bool stand_by = false;
+  bool standby = false;
   std::uint32_t workers = 4;
 };
 
@@ -109,7 +109,7 @@
     if (cls.effect == "keyed") worker.forget_keys_after(cls.repeat_window);
   const lt::io::Address at{"127.0.0.1", c.port};
   std::uint16_t port = c.port;
-  if (!c.stand_by) {  // a successor starts when the day says so
+  if (!c.standby) {  // a successor starts when the day says so
     if (!worker.listen(at)) return cannot_listen(c.port);
     port = worker.address().port;
   }
@@ -259,7 +259,7 @@
   worker->add_option("--store-port", c.store_port, "of the store it fetches from; 0: none");
   worker->add_option("--agent-port", c.agent_port,
                      "of its box's agent, which it then loads through; 0: none");
-  worker->add_flag("--stand-by", c.stand_by, "does not listen before the day says so");
+  worker->add_flag("--stand-by", c.standby, "does not listen before the day says so");
   CLI::App* list = app.add_subcommand("list", "the list of workers");
   common(list);
   list->add_option("--ports", c.ports, "of the workers: 1=7101,2=7102");
