--- a/bench/hops.cpp
+++ b/bench/hops.cpp
@@ -1,13 +1,13 @@
-// The ends of the benchmark's hops, and the bare relay that the gateway is held against. See bench/run.
+// The benchmark's traffic sources and sinks, and the bare relay that the gateway is compared with. See
+// bench/run.
 //
-//   firehose: plays a broker (mode amqp) or a source of equal bytes (mode raw), keeps calls outstanding or
-//   sends
-//             at a rate, and measures round trips;
-//   worker:   answers each call at once (mode amqp) or each block of bytes (mode raw);
-//   relay:    moves bytes between the two and decides nothing;
-//   clients:  many connections with one call out on each, over HTTP (mode http) or as blocks (mode raw), to a
-//             gateway or to a relay that listens;
-//   fill:     a ledger with so many records, for the time of a restart.
+//   firehose: a broker (mode amqp) or a source of blocks of equal size (mode raw). Keeps a number of calls
+//             outstanding or sends at a fixed rate, and measures round trips.
+//   worker:   answers each call (mode amqp) or each block (mode raw) at once, or after --delay-ms.
+//   relay:    forwards bytes between the two without any decision.
+//   clients:  many connections with one outstanding call each, over HTTP (mode http) or as blocks (mode raw),
+//             to a gateway or to a listening relay.
+//   fill:     writes a ledger with a number of records, for measuring the time of a restart.
 
 #include <CLI/CLI.hpp>
 #include <algorithm>
@@ -53,35 +53,41 @@
   return (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-// What both firehoses share: when to send, and what came of it.
-class Source {
+// Base of all traffic sources: decides when to send and measures the round trips.
+class LoadSource {
  public:
-  Source(lt::net::Loop& loop, const Options& o) : loop_(loop), o_(o), tick_(loop.timer([this] { tick(); })) {}
-  virtual ~Source() = default;
+  LoadSource(lt::net::Loop& loop, const Options& o)
+      : loop_(loop), o_(o), tick_(loop.timer([this] { tick(); })) {}
+  virtual ~LoadSource() = default;
   void begin() {
     start_ = next_ = loop_.now();
     tick();
   }
-  void came(std::uint64_t number) {
+  void on_answer(std::uint64_t number) {
     const lt::Time now = loop_.now();
-    --out_;
+    --in_flight_;
     if (now - start_ > warm()) {
       if (answered_++ == 0) measured_from_ = now;
       if (number < sent_at_.size())
-        took_.push_back(std::chrono::duration<double, std::milli>(now - sent_at_[number]).count());
+        latencies_ms_.push_back(std::chrono::duration<double, std::milli>(now - sent_at_[number]).count());
       measured_to_ = now;
     }
-    if (o_.rate <= 0) fill();
+    if (o_.rate <= 0) send_up_to_limit();
   }
   nlohmann::json result() {
-    std::sort(took_.begin(), took_.end());
-    auto q = [&](double p) {
-      return took_.empty() ? 0 : took_[static_cast<std::size_t>(p * static_cast<double>(took_.size() - 1))];
+    std::sort(latencies_ms_.begin(), latencies_ms_.end());
+    auto quantile = [&](double p) {
+      return latencies_ms_.empty()
+                 ? 0
+                 : latencies_ms_[static_cast<std::size_t>(p * static_cast<double>(latencies_ms_.size() - 1))];
     };
-    const double span = std::chrono::duration<double>(measured_to_ - measured_from_).count();
-    return {{"calls", answered_},  {"per_s", span > 0 ? static_cast<double>(answered_) / span : 0},
-            {"p50_ms", q(0.5)},    {"p99_ms", q(0.99)},
-            {"p999_ms", q(0.999)}, {"sent", sent_at_.size()}};
+    const double measured_seconds = std::chrono::duration<double>(measured_to_ - measured_from_).count();
+    return {{"calls", answered_},
+            {"per_s", measured_seconds > 0 ? static_cast<double>(answered_) / measured_seconds : 0},
+            {"p50_ms", quantile(0.5)},
+            {"p99_ms", quantile(0.99)},
+            {"p999_ms", quantile(0.999)},
+            {"sent", sent_at_.size()}};
   }
   lt::Duration warm() const {
     return std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(o_.warm_s));
@@ -90,23 +96,23 @@
  protected:
   virtual void send(std::uint64_t number) = 0;
   virtual void flush() = 0;
-  void one() {
+  void send_one() {
     sent_at_.push_back(loop_.now());
-    ++out_;
+    ++in_flight_;
     send(sent_at_.size() - 1);
   }
-  void fill() {
+  void send_up_to_limit() {
     bool any = false;
-    while (out_ < o_.outstanding) one(), any = true;
+    while (in_flight_ < o_.outstanding) send_one(), any = true;
     if (any) flush();
   }
   void tick() {
     if (o_.rate <= 0) {
-      fill();
+      send_up_to_limit();
     } else {
       const lt::Time now = loop_.now();
       while (next_ <= now) {
-        if (out_ < o_.outstanding) one();
+        if (in_flight_ < o_.outstanding) send_one();
         next_ += std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(1 / o_.rate));
       }
       flush();
@@ -121,19 +127,20 @@
   std::unique_ptr<lt::io::Timer> tick_;
   lt::Time start_{}, next_{}, measured_from_{}, measured_to_{};
   std::vector<lt::Time> sent_at_;
-  std::vector<double> took_;
-  std::size_t out_ = 0, answered_ = 0;
+  std::vector<double> latencies_ms_;
+  std::size_t in_flight_ = 0, answered_ = 0;
 };
 
-// A broker with one consumer, as lean as can be: deliveries are made by hand, answers are only counted.
-class AmqpSource : public Source, public lt::amqp::EndpointEvents {
+// A broker with one consumer, kept minimal so that it costs little itself: writes deliveries directly to the
+// connection and only counts the answers.
+class AmqpSource : public LoadSource, public lt::amqp::EndpointEvents {
  public:
-  AmqpSource(lt::net::Loop& loop, const Options& o) : Source(loop, o) {
+  AmqpSource(lt::net::Loop& loop, const Options& o) : LoadSource(loop, o) {
     listener_ = loop.listen({"127.0.0.1", o.port}, {}, [this](std::unique_ptr<lt::io::Connection> c) {
       lt::amqp::EndpointOptions e;
       e.heartbeat_s = 0;
       endpoint_ = std::make_unique<lt::amqp::Endpoint>(loop_, lt::amqp::Endpoint::Role::kServer, e, *this);
-      raw_ = c.get();
+      broker_connection_ = c.get();
       endpoint_->attach(std::move(c));
       return endpoint_.get();
     });
@@ -150,7 +157,7 @@
     if (std::holds_alternative<BasicConsume>(m)) endpoint_->send(channel, BasicConsumeOk{"c"}), begin();
   }
   void on_content(std::uint16_t, const lt::amqp::Method&, lt::amqp::Content content) override {
-    came(std::strtoull(content.properties.correlation_id.value_or("0").c_str(), nullptr, 10));
+    on_answer(std::strtoull(content.properties.correlation_id.value_or("0").c_str(), nullptr, 10));
   }
   void on_channel_closed(std::uint16_t, std::uint16_t, const std::string&) override {}
   void on_ended(const std::string&) override {}
@@ -164,18 +171,19 @@
     lt::amqp::write_content(out_, 1, lt::amqp::BasicDeliver{"c", number + 1, false, "", "calls"}, p, body_,
                             128U << 10);
   }
-  void flush() override { raw_->write(out_), out_.clear(); }
+  void flush() override { broker_connection_->write(out_), out_.clear(); }
 
  private:
   std::unique_ptr<lt::io::Listener> listener_;
   std::unique_ptr<lt::amqp::Endpoint> endpoint_;
-  lt::io::Connection* raw_ = nullptr;
+  lt::io::Connection* broker_connection_ = nullptr;
   std::string body_, out_;
 };
 
-class RawSource : public Source, public lt::io::ConnectionEvents {
+// Sends blocks of equal size and counts the blocks that come back.
+class RawSource : public LoadSource, public lt::io::ConnectionEvents {
  public:
-  RawSource(lt::net::Loop& loop, const Options& o) : Source(loop, o), block_(o.ask_bytes, 'a') {
+  RawSource(lt::net::Loop& loop, const Options& o) : LoadSource(loop, o), block_(o.ask_bytes, 'a') {
     listener_ = loop.listen({"127.0.0.1", o.port}, {}, [this](std::unique_ptr<lt::io::Connection> c) {
       connection_ = std::move(c);
       return this;
@@ -185,7 +193,7 @@
   void on_open() override { begin(); }
   std::size_t on_bytes(std::string_view bytes) override {
     std::size_t used = 0;
-    for (; bytes.size() - used >= o_.answer_bytes; used += o_.answer_bytes) came(next_++);
+    for (; bytes.size() - used >= o_.answer_bytes; used += o_.answer_bytes) on_answer(next_++);
     return used;
   }
   void on_closed(lt::io::Closed) override {}
@@ -211,7 +219,7 @@
   else
     raw = std::make_unique<RawSource>(loop, o), port = raw->port();
   std::cout << "listening " << port << std::endl;
-  // The process in the middle is told by its id once it runs.
+  // Standard input gives the process id of the gateway or relay once it runs.
   int pid = 0;
   std::cin >> pid;
   double cpu_from = 0;
@@ -229,10 +237,11 @@
   return 0;
 }
 
-// Workers that have everything loaded, each at a port of its own.
-class QuickWorker : public lt::worker::SessionEvents {
+// A worker that reports every function as loaded and answers a call with its body. Each worker
+// listens on its own port.
+class EchoWorker : public lt::worker::SessionEvents {
  public:
-  QuickWorker(lt::net::Loop& loop, std::uint32_t id, double delay_ms) : loop_(loop), delay_(delay_ms) {
+  EchoWorker(lt::net::Loop& loop, std::uint32_t id, double delay_ms) : loop_(loop), delay_(delay_ms) {
     listener_ = loop.listen({"127.0.0.1", 0}, {}, [this, id](std::unique_ptr<lt::io::Connection> c) {
       lt::worker::Hello h;
       h.id = id;
@@ -251,8 +260,8 @@
       a.body = std::move(call->body);
       a.report.values = {{1, 1.0F}, {3, 0.5F}};
       if (delay_ <= 0) return s.send(a);
-      late_.push_back(loop_.timer([&s, a] { s.send(a); }));
-      late_.back()->start(
+      delayed_answers_.push_back(loop_.timer([&s, a] { s.send(a); }));
+      delayed_answers_.back()->start(
           std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double, std::milli>(delay_)));
     } else if (const auto* hold = std::get_if<lt::worker::Hold>(&m)) {
       s.send(lt::worker::Held{hold->order, lt::worker::HeldKind::kOk,
@@ -267,9 +276,10 @@
   double delay_;
   std::unique_ptr<lt::io::Listener> listener_;
   std::vector<std::unique_ptr<lt::worker::Session>> sessions_;
-  std::vector<std::unique_ptr<lt::io::Timer>> late_;
+  std::vector<std::unique_ptr<lt::io::Timer>> delayed_answers_;
 };
 
+// Answers each block with a block.
 class RawSink : public lt::io::ConnectionEvents {
  public:
   RawSink(std::unique_ptr<lt::io::Connection> c, const Options& o)
@@ -291,12 +301,12 @@
 
 int worker(const Options& o) {
   lt::net::Loop loop;
-  std::vector<std::unique_ptr<QuickWorker>> workers;
+  std::vector<std::unique_ptr<EchoWorker>> workers;
   std::vector<std::unique_ptr<RawSink>> sinks;
   std::vector<std::unique_ptr<lt::io::Listener>> listeners;
   if (o.mode == "amqp") {
     for (std::uint32_t id = 1; id <= o.workers; ++id)
-      workers.push_back(std::make_unique<QuickWorker>(loop, id, o.delay_ms));
+      workers.push_back(std::make_unique<EchoWorker>(loop, id, o.delay_ms));
     std::cout << "listening";
     for (const auto& w : workers) std::cout << ' ' << w->port();
     std::cout << std::endl;
@@ -316,29 +326,30 @@
   return 0;
 }
 
-// Blocks from the source go to the workers in turn, what comes from a worker goes to the source: the same
-// bytes over the same connections as the gateway's, and nothing decided. With one worker it is a plain pipe.
+// Forwards blocks from the source to the workers round-robin, and the workers' answers to the source: as many
+// bytes over as many connections as with the gateway, without any decision. With one worker it is a plain
+// pipe.
 class Relay : public lt::io::ConnectionEvents {
  public:
   Relay(lt::net::Loop& loop, const Options& o) : o_(o) {
     for (const std::uint16_t port : o.to) {
-      arms_.push_back(std::make_unique<Arm>());
-      arms_.back()->relay = this;
-      arms_.back()->connection = loop.connect({"127.0.0.1", port}, {}, *arms_.back());
+      workers_.push_back(std::make_unique<WorkerConnection>());
+      workers_.back()->relay = this;
+      workers_.back()->connection = loop.connect({"127.0.0.1", port}, {}, *workers_.back());
     }
     source_ = loop.connect({"127.0.0.1", o.port}, {}, *this);
   }
   std::size_t on_bytes(std::string_view bytes) override {
-    if (arms_.size() == 1) return arms_[0]->connection->write(bytes), bytes.size();
+    if (workers_.size() == 1) return workers_[0]->connection->write(bytes), bytes.size();
     std::size_t used = 0;
     for (; bytes.size() - used >= o_.ask_bytes; used += o_.ask_bytes)
-      arms_[next_++ % arms_.size()]->connection->write(bytes.substr(used, o_.ask_bytes));
+      workers_[next_++ % workers_.size()]->connection->write(bytes.substr(used, o_.ask_bytes));
     return used;
   }
   void on_closed(lt::io::Closed) override { std::exit(0); }
 
  private:
-  struct Arm : lt::io::ConnectionEvents {
+  struct WorkerConnection : lt::io::ConnectionEvents {
     Relay* relay = nullptr;
     std::unique_ptr<lt::io::Connection> connection;
     std::size_t on_bytes(std::string_view bytes) override {
@@ -348,18 +359,19 @@
   };
   const Options& o_;
   std::unique_ptr<lt::io::Connection> source_;
-  std::vector<std::unique_ptr<Arm>> arms_;
+  std::vector<std::unique_ptr<WorkerConnection>> workers_;
   std::size_t next_ = 0;
 };
 
-// The same for many clients that connect here: what a worker answers goes to whoever asked, in order.
+// A relay that clients connect to. Each worker answers in order, so an answer goes to the client whose
+// request has waited longest at that worker.
 class ListeningRelay {
  public:
   ListeningRelay(lt::net::Loop& loop, const Options& o) : o_(o) {
     for (const std::uint16_t port : o.to) {
-      arms_.push_back(std::make_unique<Arm>());
-      arms_.back()->relay = this;
-      arms_.back()->connection = loop.connect({"127.0.0.1", port}, {}, *arms_.back());
+      workers_.push_back(std::make_unique<WorkerConnection>());
+      workers_.back()->relay = this;
+      workers_.back()->connection = loop.connect({"127.0.0.1", port}, {}, *workers_.back());
     }
     listener_ = loop.listen({"127.0.0.1", o.port}, {}, [this](std::unique_ptr<lt::io::Connection> c) {
       clients_.push_back(std::make_unique<Client>());
@@ -377,24 +389,24 @@
     std::size_t on_bytes(std::string_view bytes) override {
       std::size_t used = 0;
       for (; bytes.size() - used >= relay->o_.ask_bytes; used += relay->o_.ask_bytes) {
-        Arm& arm = *relay->arms_[relay->next_++ % relay->arms_.size()];
-        arm.askers.push_back(this);
-        arm.connection->write(bytes.substr(used, relay->o_.ask_bytes));
+        WorkerConnection& worker = *relay->workers_[relay->next_++ % relay->workers_.size()];
+        worker.waiting_clients.push_back(this);
+        worker.connection->write(bytes.substr(used, relay->o_.ask_bytes));
       }
       return used;
     }
     void on_closed(lt::io::Closed) override {}
   };
-  struct Arm : lt::io::ConnectionEvents {
+  struct WorkerConnection : lt::io::ConnectionEvents {
     ListeningRelay* relay = nullptr;
     std::unique_ptr<lt::io::Connection> connection;
-    std::deque<Client*> askers;
+    std::deque<Client*> waiting_clients;
     std::size_t on_bytes(std::string_view bytes) override {
       const std::size_t size = relay->o_.answer_bytes;
       std::size_t used = 0;
       for (; bytes.size() - used >= size; used += size) {
-        askers.front()->connection->write(bytes.substr(used, size));
-        askers.pop_front();
+        waiting_clients.front()->connection->write(bytes.substr(used, size));
+        waiting_clients.pop_front();
       }
       return used;
     }
@@ -403,30 +415,31 @@
   const Options& o_;
   std::unique_ptr<lt::io::Listener> listener_;
   std::vector<std::unique_ptr<Client>> clients_;
-  std::vector<std::unique_ptr<Arm>> arms_;
+  std::vector<std::unique_ptr<WorkerConnection>> workers_;
   std::size_t next_ = 0;
 };
 
-// `outstanding` connections, each with one call out.
-class Clients : public Source {
+// Opens `outstanding` connections and keeps at most one call in flight on each.
+class Clients : public LoadSource {
  public:
-  Clients(lt::net::Loop& loop, const Options& o) : Source(loop, o) {
+  Clients(lt::net::Loop& loop, const Options& o) : LoadSource(loop, o) {
     for (std::size_t i = 0; i < o.outstanding; ++i) {
-      all_.push_back(std::make_unique<One>(*this));
-      all_.back()->connection = loop.connect({"127.0.0.1", o.port}, {}, *all_.back());
+      connections_.push_back(std::make_unique<ClientConnection>(*this));
+      connections_.back()->connection = loop.connect({"127.0.0.1", o.port}, {}, *connections_.back());
     }
   }
 
  protected:
-  struct One : lt::io::ConnectionEvents {
-    explicit One(Clients& owner) : clients(owner), parser(lt::http::Parser::Side::kResponse, {}) {}
+  struct ClientConnection : lt::io::ConnectionEvents {
+    explicit ClientConnection(Clients& owner)
+        : clients(owner), parser(lt::http::Parser::Side::kResponse, {}) {}
     Clients& clients;
     std::unique_ptr<lt::io::Connection> connection;
     lt::http::Parser parser;
     std::uint64_t number = 0;
     void on_open() override {
-      clients.idle_.push_back(this);
-      if (clients.idle_.size() == clients.all_.size()) clients.begin();
+      clients.idle_connections_.push_back(this);
+      if (clients.idle_connections_.size() == clients.connections_.size()) clients.begin();
     }
     std::size_t on_bytes(std::string_view bytes) override {
       std::size_t used = 0;
@@ -435,20 +448,20 @@
         used = clients.o_.answer_bytes;
       } else {
         if (parser.feed(bytes, used) != lt::http::Parser::State::kDone) return used;
-        if (parser.status() != 200) clients.bad_ = parser.status();
+        if (parser.status() != 200) clients.last_bad_status_ = parser.status();
         parser.reset();
       }
-      clients.idle_.push_back(this);
-      clients.came(number);
+      clients.idle_connections_.push_back(this);
+      clients.on_answer(number);
       return used;
     }
-    void on_closed(lt::io::Closed) override { std::cerr << "a connection ended\n", std::exit(1); }
+    void on_closed(lt::io::Closed) override { std::cerr << "a connection closed early\n", std::exit(1); }
   };
   void send(std::uint64_t number) override {
-    One& one = *idle_.back();
-    idle_.pop_back();
-    one.number = number;
-    if (o_.mode == "raw") return one.connection->write(std::string(o_.ask_bytes, 'a'));
+    ClientConnection& client = *idle_connections_.back();
+    idle_connections_.pop_back();
+    client.number = number;
+    if (o_.mode == "raw") return client.connection->write(std::string(o_.ask_bytes, 'a'));
     lt::http::Request r;
     r.method = "POST", r.target = "/v1/functions/f-" + std::to_string(number % o_.functions) + "/calls";
     r.headers.add("Host", "gateway");
@@ -457,16 +470,16 @@
     r.body.assign(o_.body, 'b');
     std::string out;
     lt::http::write(out, r);
-    one.connection->write(out);
+    client.connection->write(out);
   }
   void flush() override {}
 
  private:
-  std::vector<std::unique_ptr<One>> all_;
-  std::vector<One*> idle_;
+  std::vector<std::unique_ptr<ClientConnection>> connections_;
+  std::vector<ClientConnection*> idle_connections_;
 
  public:
-  int bad_ = 0;
+  int last_bad_status_ = 0;
 };
 
 int clients(const Options& o) {
@@ -484,12 +497,13 @@
   const double cpu = cpu_seconds(pid) - cpu_from;
   result["cpu_us_per_call"] = 1e6 * cpu / std::max(1.0, result["calls"].get<double>());
   result["cores"] = cpu / o.seconds;
-  result["bad"] = all.bad_;
+  result["bad"] = all.last_bad_status_;
   std::cout << result.dump() << std::endl;
   return 0;
 }
 
-int fill(const Options& o) {
+// Writes `records` open calls, each with one attempt in flight, to the ledger in `directory`.
+int fill_ledger(const Options& o) {
   lt::net::Loop loop;
   lt::store::LmdbOptions lmdb;
   lmdb.directory = o.directory;
@@ -535,10 +549,10 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"the benchmark's hops"};
+  CLI::App app{"traffic sources, sinks and relays of the benchmark"};
   app.require_subcommand(1);
   Options o;
-  auto with = [&](CLI::App* s) {
+  auto add_options = [&](CLI::App* s) {
     s->add_option("--mode", o.mode)->check(CLI::IsMember({"amqp", "http", "raw"}));
     s->add_option("--port", o.port);
     s->add_option("--to", o.to);
@@ -558,15 +572,15 @@
     s->add_flag("--keys", o.keys);
     return s;
   };
-  CLI::App* f = with(app.add_subcommand("firehose"));
-  CLI::App* w = with(app.add_subcommand("worker"));
-  with(app.add_subcommand("relay"));
-  CLI::App* c = with(app.add_subcommand("clients"));
-  CLI::App* l = with(app.add_subcommand("fill"));
+  CLI::App* f = add_options(app.add_subcommand("firehose"));
+  CLI::App* w = add_options(app.add_subcommand("worker"));
+  add_options(app.add_subcommand("relay"));
+  CLI::App* c = add_options(app.add_subcommand("clients"));
+  CLI::App* l = add_options(app.add_subcommand("fill"));
   CLI11_PARSE(app, argc, argv);
   if (*f) return firehose(o);
   if (*w) return worker(o);
   if (*c) return clients(o);
-  if (*l) return fill(o);
+  if (*l) return fill_ledger(o);
   return relay(o);
 }
--- a/fuzz/config.cpp
+++ b/fuzz/config.cpp
@@ -1,4 +1,4 @@
-// Settings and list documents.
+// Fuzzes the parsers of settings files and of worker list documents.
 #include "config/settings.h"
 #include "members/list.h"
 
--- a/fuzz/feed.cpp
+++ b/fuzz/feed.cpp
@@ -1,4 +1,5 @@
-// Bytes of an event bus: the same events in one piece and in many; and an event's JSON.
+// Fuzzes the event bus parser, which must give the same events whether the bytes come in one piece or in
+// many, and the JSON of an event.
 #include "platform/feed.h"
 
 #include "platform/invoker_list.h"
@@ -8,15 +9,16 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
   platform::EventParser whole, pieces;
-  std::string a, b;
-  const auto note = [](std::string& to) {
-    return [&to](platform::Event e) { to += std::to_string(e.id) + e.data + '\n'; };
+  std::string whole_events, pieces_events;
+  const auto append_to = [](std::string& output) {
+    return [&output](platform::Event e) { output += std::to_string(e.id) + e.data + '\n'; };
   };
-  const bool well_a = whole.feed(bytes, note(a));
-  bool well_b = true;
-  for (std::size_t at = 0; at < size && well_b; at += 3) well_b = pieces.feed(bytes.substr(at, 3), note(b));
-  if (well_a != well_b || a != b) __builtin_trap();
-  platform::InvokerList roster;
-  roster.take(1, bytes);
+  const bool whole_ok = whole.feed(bytes, append_to(whole_events));
+  bool pieces_ok = true;
+  for (std::size_t offset = 0; offset < size && pieces_ok; offset += 3)
+    pieces_ok = pieces.feed(bytes.substr(offset, 3), append_to(pieces_events));
+  if (whole_ok != pieces_ok || whole_events != pieces_events) __builtin_trap();
+  platform::InvokerList invokers;
+  invokers.take(1, bytes);
   return 0;
 }
--- a/fuzz/frames.cpp
+++ b/fuzz/frames.cpp
@@ -1,4 +1,5 @@
-// Bytes of an invoker: at the frame codec, and at a link with a call, an order and a probe out.
+// Fuzzes the platform's frame codec, and a link to an invoker that has a call, an order and a probe in
+// flight.
 #include "platform/link.h"
 #include "sim/network.h"
 
@@ -6,23 +7,23 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  const auto r = platform::parse(bytes, platform::kInvokerMagic);
-  if (r.kind == platform::ParseResult::Kind::kFrame && r.size > size) __builtin_trap();
+  const auto result = platform::parse(bytes, platform::kInvokerMagic);
+  if (result.kind == platform::ParseResult::Kind::kFrame && result.size > size) __builtin_trap();
   platform::field(bytes, "load");
   sim::NetworkOptions options;
   options.max_segment_bytes = 9;
   sim::Network net(options);
   struct Invoker : io::ConnectionEvents {
-    std::unique_ptr<io::Connection> c;
-    std::string out;
-    void on_open() override { c->write(out); }
+    std::unique_ptr<io::Connection> connection;
+    std::string output;
+    void on_open() override { connection->write(output); }
     std::size_t on_bytes(std::string_view b) override { return b.size(); }
-    void on_closed(io::Closed) override { c.reset(); }
+    void on_closed(io::Closed) override { connection.reset(); }
   };
   std::vector<std::unique_ptr<Invoker>> invokers;
-  const auto listener = net.listen({"127.0.0.1", 80}, {}, [&](std::unique_ptr<io::Connection> c) {
+  const auto listener = net.listen({"127.0.0.1", 80}, {}, [&](std::unique_ptr<io::Connection> connection) {
     invokers.push_back(std::make_unique<Invoker>());
-    invokers.back()->c = std::move(c), invokers.back()->out = bytes;
+    invokers.back()->connection = std::move(connection), invokers.back()->output = bytes;
     return invokers.back().get();
   });
   struct Ends : worker::LinkEvents {
--- a/fuzz/front.cpp
+++ b/fuzz/front.cpp
@@ -1,4 +1,5 @@
-// Bytes of a client of the platform: at the message codec, and at a server in any cuts.
+// Fuzzes the codec of messages from the platform's clients, and a server that receives the bytes in small
+// segments.
 #include "front/server.h"
 #include "sim/network.h"
 
@@ -27,14 +28,14 @@
   echo.server = &server;
   if (!server.listen({"127.0.0.1", 80})) return 0;
   struct Peer : io::ConnectionEvents {
-    std::unique_ptr<io::Connection> c;
-    std::string out;
-    void on_open() override { c->write(out); }
+    std::unique_ptr<io::Connection> connection;
+    std::string output;
+    void on_open() override { connection->write(output); }
     std::size_t on_bytes(std::string_view b) override { return b.size(); }
     void on_closed(io::Closed) override {}
   } peer;
-  peer.out = bytes;
-  peer.c = net.connect({"127.0.0.1", 80}, {}, peer);
+  peer.output = bytes;
+  peer.connection = net.connect({"127.0.0.1", 80}, {}, peer);
   net.run_for(std::chrono::seconds(1));
   if (server.owed() != 0) __builtin_trap();
   return 0;
--- a/fuzz/http.cpp
+++ b/fuzz/http.cpp
@@ -1,4 +1,5 @@
-// HTTP bytes at the parser, in one piece and in several, and at a server with a handler behind it; records.
+// Fuzzes the HTTP parser (bytes in one piece and in several), a server with an echo handler, and ledger
+// records.
 #include "http/client.h"
 #include "http/server.h"
 #include "ledger/record.h"
@@ -20,7 +21,7 @@
       b = pieces.feed(bytes.substr(at, 3), n);
       at += n;
     }
-    // Where a message ends must not depend on how its bytes arrive.
+    // The end of a message must not depend on how its bytes are split.
     if (a != b || (a == http::Parser::State::kDone && (used != at || whole.body() != pieces.body())))
       __builtin_trap();
   }
@@ -43,14 +44,14 @@
   echo.server = &server;
   if (!server.listen({"127.0.0.1", 80})) return 0;
   struct Peer : io::ConnectionEvents {
-    std::unique_ptr<io::Connection> c;
-    std::string out;
-    void on_open() override { c->write(out); }
+    std::unique_ptr<io::Connection> connection;
+    std::string output;
+    void on_open() override { connection->write(output); }
     std::size_t on_bytes(std::string_view b) override { return b.size(); }
     void on_closed(io::Closed) override {}
   } peer;
-  peer.out = bytes;
-  peer.c = net.connect({"127.0.0.1", 80}, {}, peer);
+  peer.output = bytes;
+  peer.connection = net.connect({"127.0.0.1", 80}, {}, peer);
   net.run_for(std::chrono::seconds(1));
   return 0;
 }
--- a/fuzz/node.cpp
+++ b/fuzz/node.cpp
@@ -1,4 +1,4 @@
-// A controller's configuration as the platform might write it.
+// Fuzzes the parser of the node's configuration.
 #include "node/config.h"
 
 using namespace laureltide;
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,5 +1,5 @@
-// Gives every seed of a directory to a fuzz target, without libFuzzer: what once crashed stays a test in any
-// build.
+// Runs a fuzz target on every seed of a directory without libFuzzer, so that inputs that once crashed it stay
+// tests in any build.
 #include <cstdint>
 #include <filesystem>
 #include <fstream>
@@ -10,15 +10,15 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size);
 
 int main(int argc, char** argv) {
-  std::size_t given = 0;
+  std::size_t inputs_run = 0;
   if (argc == 2)
     for (const auto& entry : std::filesystem::directory_iterator(argv[1])) {
       std::ifstream in(entry.path(), std::ios::binary);
       const std::string bytes(std::istreambuf_iterator<char>(in), {});
       std::cout << entry.path().filename().string() << ", " << bytes.size() << " bytes" << std::endl;
       LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
-      ++given;
+      ++inputs_run;
     }
-  if (given == 0) std::cerr << "usage: replay SEEDS (a directory that holds some)\n";
-  return given > 0 ? 0 : 2;
+  if (inputs_run == 0) std::cerr << "usage: replay SEEDS (a directory with at least one seed file)\n";
+  return inputs_run > 0 ? 0 : 2;
 }
--- a/fuzz/worker.cpp
+++ b/fuzz/worker.cpp
@@ -1,4 +1,4 @@
-// Worker protocol bytes, at the parser and at both ends of a connection.
+// Fuzzes the worker protocol: the parser and both ends of a connection.
 #include "sim/network.h"
 #include "worker/link.h"
 #include "worker/server.h"
@@ -6,7 +6,7 @@
 using namespace laureltide;
 
 namespace {
-struct Ignore : worker::LinkEvents, worker::SessionEvents {
+struct IgnoringEvents : worker::LinkEvents, worker::SessionEvents {
   void on_call_end(WorkerId, std::uint64_t, CallEnd) override {}
   void on_piece(WorkerId, std::uint64_t, std::string) override {}
   void on_hold_end(WorkerId, std::uint64_t, Outcome, int) override {}
@@ -17,9 +17,9 @@
   void on_end(worker::Session&) override {}
 };
 struct Peer : io::ConnectionEvents {
-  std::unique_ptr<io::Connection> c;
-  std::string out;
-  void on_open() override { c->write(out); }
+  std::unique_ptr<io::Connection> connection;
+  std::string output;
+  void on_open() override { connection->write(output); }
   std::size_t on_bytes(std::string_view b) override { return b.size(); }
   void on_closed(io::Closed) override {}
 };
@@ -27,39 +27,40 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  worker::ParseResult r = worker::parse(bytes, 1U << 20);
-  if (r.kind == worker::ParseResult::Kind::kMessage) {
-    std::string out;
-    worker::write(out, r.message);
-    if (worker::parse(out, 1U << 20).kind != worker::ParseResult::Kind::kMessage) __builtin_trap();
+  worker::ParseResult result = worker::parse(bytes, 1U << 20);
+  if (result.kind == worker::ParseResult::Kind::kMessage) {
+    std::string output;
+    worker::write(output, result.message);
+    if (worker::parse(output, 1U << 20).kind != worker::ParseResult::Kind::kMessage) __builtin_trap();
   }
   const io::Address at{"127.0.0.1", 7101};
   std::string hello;
   worker::write(hello, worker::Hello{1, 0, 1U << 20, 1, 0, "x"});
-  {  // a worker that says this to a controller with a call out
+  {  // a worker sends the bytes to a controller that has a call in flight
     sim::Network net;
-    Ignore events;
+    IgnoringEvents events;
     Peer peer;
-    peer.out = hello + std::string(bytes);
-    auto listener =
-        net.listen(at, {}, [&](std::unique_ptr<io::Connection> c) { return peer.c = std::move(c), &peer; });
+    peer.output = hello + std::string(bytes);
+    auto listener = net.listen(at, {}, [&](std::unique_ptr<io::Connection> connection) {
+      return peer.connection = std::move(connection), &peer;
+    });
     worker::Link link(net, WorkerId{1}, at, {}, events);
     link.call({}, "body", 1);
     link.hold("f", 1, 2);
     net.run_for(std::chrono::seconds(1));
   }
-  {  // a controller that says this to a worker
+  {  // a controller sends the bytes to a worker
     sim::Network net;
-    Ignore events;
+    IgnoringEvents events;
     std::unique_ptr<worker::Session> session;
-    auto listener = net.listen(at, {}, [&](std::unique_ptr<io::Connection> c) {
+    auto listener = net.listen(at, {}, [&](std::unique_ptr<io::Connection> connection) {
       session = std::make_unique<worker::Session>(net, worker::Hello{}, events);
-      session->attach(std::move(c));
+      session->attach(std::move(connection));
       return session.get();
     });
     Peer peer;
-    peer.out = hello + std::string(bytes);
-    peer.c = net.connect(at, {}, peer);
+    peer.output = hello + std::string(bytes);
+    peer.connection = net.connect(at, {}, peer);
     net.run_for(std::chrono::seconds(1));
   }
   return 0;
