--- a/bench/fetches.cpp
+++ b/bench/fetches.cpp
@@ -34,12 +34,12 @@
     s.add(now, f);
   };
   while (s.size() < waiting) add();
-  std::deque<layers::Start> in_flight;
+  std::deque<layers::ScheduledAttempt> in_flight;
   const auto start_time = Clock::now();
   for (int i = 0; i < kMeasuredSteps; ++i) {
     now += 100us;
     while (const auto start = s.next(now)) in_flight.push_back(*start);
-    s.ended(now, in_flight.front().id, in_flight.front().attempt, layers::FetchEnd::kWell, {});
+    s.on_attempt_ended(now, in_flight.front().id, in_flight.front().attempt, layers::FetchOutcome::kOk, {});
     in_flight.pop_front();
     add();
   }
--- a/src/apps/play.cpp
+++ b/src/apps/play.cpp
@@ -119,7 +119,7 @@
   rules.cold_capacity_share = day.cold_capacity_share, rules.cold_for_s = to_seconds(day.cold_duration),
   rules.overload_multiple = day.overload_multiple;
   rules.overload_for_s = to_seconds(day.overload_duration), rules.worker_cores = day.cores;
-  rules.answers_may_repeat = day.confirm_mode || day.acknowledge_on_take;
+  rules.allow_repeated_answers = day.confirm_mode || day.acknowledge_on_take;
   rules.order_window_s = to_seconds(day.order_window), rules.order_floor = day.order_floor,
   rules.orders_per_call = day.orders_per_call;
   for (const DayClass& c : day.classes) {
@@ -474,12 +474,13 @@
   std::cout << "layers: " << v.versions << " versions of " << v.functions << " functions released, "
             << v.boxes << " boxes fetched " << v.ranges << " ranges, " << v.bytes << " bytes; " << v.runs
             << " runs on a known version, " << v.renewed << " of a later release\n";
-  std::cout << "layers (each chunk once a box): " << (v.once.empty() ? "kept" : "BROKEN") << '\n';
-  for (std::size_t i = 0; i < std::min<std::size_t>(5, v.once.size()); ++i)
-    std::cout << "  " << v.once[i] << '\n';
-  std::cout << "layers (no call on mixed versions): " << (v.mixed.empty() ? "kept" : "BROKEN") << '\n';
-  for (std::size_t i = 0; i < std::min<std::size_t>(5, v.mixed.size()); ++i)
-    std::cout << "  " << v.mixed[i] << '\n';
+  std::cout << "layers (each chunk once a box): " << (v.duplicate_sends.empty() ? "kept" : "BROKEN") << '\n';
+  for (std::size_t i = 0; i < std::min<std::size_t>(5, v.duplicate_sends.size()); ++i)
+    std::cout << "  " << v.duplicate_sends[i] << '\n';
+  std::cout << "layers (no call on mixed versions): " << (v.wrong_versions.empty() ? "kept" : "BROKEN")
+            << '\n';
+  for (std::size_t i = 0; i < std::min<std::size_t>(5, v.wrong_versions.size()); ++i)
+    std::cout << "  " << v.wrong_versions[i] << '\n';
 }
 
 }  // namespace
@@ -529,9 +530,14 @@
                                " was reached");
     auto doc = verdict.report();
     if (const auto& l = runner.layers())
-      doc["layers"] = {{"once", l->once},   {"mixed", l->mixed},    {"versions", l->versions},
-                       {"boxes", l->boxes}, {"ranges", l->ranges},  {"bytes", l->bytes},
-                       {"runs", l->runs},   {"renewed", l->renewed}};
+      doc["layers"] = {{"once", l->duplicate_sends},
+                       {"mixed", l->wrong_versions},
+                       {"versions", l->versions},
+                       {"boxes", l->boxes},
+                       {"ranges", l->ranges},
+                       {"bytes", l->bytes},
+                       {"runs", l->runs},
+                       {"renewed", l->renewed}};
     if (!report.empty()) std::ofstream(report) << doc.dump(2) << '\n';
     if (keep_directory.empty() && all_kept) std::filesystem::remove_all(dir);
     if (keep_directory.empty() && !all_kept) std::cout << "tapes and logs: " << dir << '\n';
