--- a/src/apps/play.cpp
+++ b/src/apps/play.cpp
@@ -21,7 +21,7 @@
 #include "net/loop.h"
 #include "standin/caller.h"
 #include "standin/day.h"
-#include "standin/invoker.h"
+#include "standin/http_caller.h"
 
 namespace lt = laureltide;
 using lt::standin::Day;
@@ -127,7 +127,7 @@
     for (int i = 0; i < c.functions; ++i) rules.class_of_function[day.function(c, i)] = c.name;
   }
   for (std::uint32_t id = 1; id <= day.workers; ++id)
-    for (const std::uint32_t w : {id, id + Day::kSuccessor}) {
+    for (const std::uint32_t w : {id, id + Day::kSuccessorIdOffset}) {
       rules.rack_of_worker[std::to_string(w)] = "rack-" + std::to_string(id % day.racks);
       rules.zone_of_worker[std::to_string(w)] = "room";
     }
@@ -230,7 +230,7 @@
     };
     for (std::uint32_t id = 1; id <= day_.workers; ++id) {
       start_worker(id, false);
-      if (day_.has_successor(id)) start_worker(id + Day::kSuccessor, true);
+      if (day_.has_successor(id)) start_worker(id + Day::kSuccessorIdOffset, true);
     }
     start_standin("list", {"list", "--port", std::to_string(list), "--ports", ports});
     std::vector<std::uint16_t> peers;
@@ -242,7 +242,7 @@
       gateway_processes_.push_back(start_gateway(n));
     }
     if (day_.front == "http") {
-      lt::standin::InvokerOptions o;
+      lt::standin::HttpCallerOptions o;
       for (std::uint32_t n = 0; n < day_.gateways; ++n) {
         o.gateways.push_back({"127.0.0.1", invoke_ports_[n]});
         o.names.push_back("gw-" + std::to_string(n));
@@ -250,7 +250,7 @@
       for (const std::string& tenant : tenant_names(day_)) o.tokens[tenant] = bearer_token(tenant);
       o.deferred = day_.deferred;
       o.repeat = day_.repeat;
-      invoker_ = std::make_unique<lt::standin::Invoker>(loop_, o, tape_);
+      invoker_ = std::make_unique<lt::standin::HttpCaller>(loop_, o, tape_);
       invoker_->on_answer = [this](const std::string& call, const lt::standin::Caller::Answered& a) {
         if (open_calls_.erase(call) > 0) ++outcomes_[a.outcome];
       };
@@ -426,7 +426,7 @@
   // The box agents: they have no part in the day's script and get no SIGUSR1.
   std::set<lt::apps::ChildProcess*> agent_processes_;
   std::unique_ptr<lt::standin::Caller> caller_;
-  std::unique_ptr<lt::standin::Invoker> invoker_;
+  std::unique_ptr<lt::standin::HttpCaller> invoker_;
   std::vector<std::uint16_t> invoke_ports_;
   std::unique_ptr<lt::standin::Script> script_;
   std::unique_ptr<lt::io::Timer> start_timer_, call_timer_, progress_timer_, crash_poll_timer_;
@@ -514,7 +514,7 @@
       std::ostringstream text;
       text << in.rdbuf();
       played_file = dir + "/day.toml";
-      std::ofstream(played_file) << lt::standin::faster(text.str(), speed);
+      std::ofstream(played_file) << lt::standin::scale_day_speed(text.str(), speed);
       day = lt::standin::load_day(played_file, problems);
       if (!day) return 2;
     }
--- a/src/apps/standin.cpp
+++ b/src/apps/standin.cpp
@@ -111,7 +111,7 @@
   if (common.agent_port != 0) options.agent = lt::io::Address{"127.0.0.1", common.agent_port};
   lt::standin::Worker worker(loop, options, tape);
   for (const auto& cls : day->classes)
-    if (cls.effect == "keyed") worker.forget_keys_after(cls.repeat_window);
+    if (cls.effect == "keyed") worker.set_deduplication_window(cls.repeat_window);
   const lt::io::Address at{"127.0.0.1", common.port};
   std::uint16_t port = common.port;
   if (!common.standby) {  // a successor does not listen before the day starts it
@@ -164,7 +164,7 @@
   lt::standin::RegistryOptions options;
   options.bytes_per_s = day->store_mb_per_s * 1e6;
   lt::standin::Registry registry(loop, options, tape);
-  if (!common.day.empty()) lt::standin::publish_all(*day, registry, 1, 0, tape, loop.now());
+  if (!common.day.empty()) lt::standin::publish_functions(*day, registry, 1, 0, tape, loop.now());
   if (!registry.listen({"127.0.0.1", common.port})) return report_listen_failure(common.port);
   return serve(loop, common, registry.address().port,
                [&](auto& s) { lt::standin::script_registry(s, *day, registry, loop, tape); });
--- a/tests/apps/call_run_twice_test.cpp
+++ b/tests/apps/call_run_twice_test.cpp
@@ -57,7 +57,7 @@
       ASSERT_TRUE(workers.back()->start());
       members.push_back({"s-" + std::to_string(i), workers.back()->address(), "active", 0, 0});
     }
-    bus.tell(members);
+    bus.publish(members);
     json doc = node::tests::config();
     doc["bus"] = bus.address().text();
     doc["limits"]["sockets"] = sockets;
@@ -120,7 +120,7 @@
   }
   std::size_t duplicates_sent() const {
     std::size_t n = 0;
-    for (const auto& worker : workers) n += worker->copies_sent();
+    for (const auto& worker : workers) n += worker->duplicates_sent();
     return n;
   }
 
@@ -130,7 +130,7 @@
     ASSERT_TRUE(all_answered()) << logs();
     std::map<std::uint64_t, int> runs;
     for (const auto& worker : workers)
-      for (const PlatformInvoker::Seen& seen : worker->calls()) runs[seen.id] += seen.ran;
+      for (const PlatformInvoker::ReceivedCall& seen : worker->calls()) runs[seen.id] += seen.ran;
     std::size_t twice = 0, refused_though_run = 0, two_answers = 0, served = 0;
     for (const auto& [id, call] : sent) {
       const std::string kind = reply(call)->kind;
@@ -159,7 +159,7 @@
   ASSERT_NO_FATAL_FAILURE(start(1, 1));
   load(4);
   workers[0]->refuse_first(GetParam());
-  workers[0]->copy_at_next_attempt(true);
+  workers[0]->duplicate_at_next_attempt(true);
   for (std::uint64_t n = 0; n < 40; ++n) {
     call(*clients[0], true, kFirstFunction + n % 4);
     ::laureltide::tests::run_for(loop, 25ms);
@@ -180,7 +180,7 @@
   ASSERT_NO_FATAL_FAILURE(start(3, 2, 64));
   for (const auto& worker : workers) {
     worker->refuse_some(kMiss, 0.3);
-    worker->send_copies({0.5, 300us, 450ms});
+    worker->send_duplicates({0.5, 300us, 450ms});
   }
   std::uint64_t n = 0;
   for (const Time end = loop.now() + 4s; loop.now() < end;) {
--- a/tests/controller/invoke_test.cpp
+++ b/tests/controller/invoke_test.cpp
@@ -227,7 +227,7 @@
 TEST(Invoke, PreferWaitReturnsAnswerWithinWait) {
   InvokeFixture fixture;
   EXPECT_EQ(fixture.call("echo", {{"Prefer", "respond-async, wait=5"}}).status, 200);
-  fixture.worker(1).set_silent(true), fixture.worker(2).set_silent(true);
+  fixture.worker(1).set_unresponsive(true), fixture.worker(2).set_unresponsive(true);
   const Time before = fixture.net.now();
   EXPECT_EQ(fixture.call("echo", {{"Prefer", "respond-async, wait=1"}}).status, 202);
   EXPECT_GE(fixture.net.now() - before, 1s);
@@ -404,7 +404,7 @@
 
 TEST(Invoke, DeferredCallsAreAnsweredAfterKill) {
   InvokeFixture fixture;
-  fixture.worker(1).set_silent(true), fixture.worker(2).set_silent(true);
+  fixture.worker(1).set_unresponsive(true), fixture.worker(2).set_unresponsive(true);
   std::vector<std::string> where;
   for (int i = 0; i < 5; ++i)
     where.push_back(InvokeFixture::field(fixture.call("gate", {{"Prefer", "respond-async"}}), "Location"));
--- a/tests/platform/link_test.cpp
+++ b/tests/platform/link_test.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 using namespace std::chrono_literals;
+using standin::InjectedFault;
 using standin::PlatformInvoker;
-using standin::Spoil;
 const io::Address kAddress{"127.0.0.1", 6565};
 const std::string kFunction = "00000000000000aa";
 
@@ -212,14 +212,14 @@
 // A malformed answer means that its call has run; calls on other connections are not affected.
 TEST_F(LinkTest, ClosesOnlyTheConnectionOfMalformedAnswer) {
   load();
-  const std::pair<Spoil, Outcome> table[] = {{Spoil::kCheck, Outcome::kError},
-                                             {Spoil::kMark, Outcome::kReset},
-                                             {Spoil::kHuge, Outcome::kError},
-                                             {Spoil::kBreakOff, Outcome::kError},
-                                             {Spoil::kReset, Outcome::kError}};
+  const std::pair<InjectedFault, Outcome> table[] = {{InjectedFault::kBadChecksum, Outcome::kError},
+                                                     {InjectedFault::kBadMagic, Outcome::kReset},
+                                                     {InjectedFault::kOversized, Outcome::kError},
+                                                     {InjectedFault::kTruncated, Outcome::kError},
+                                                     {InjectedFault::kReset, Outcome::kError}};
   std::uint64_t cookie = 10;
   for (const auto& [spoil, expected] : table) {
-    invoker.spoil_next(spoil);
+    invoker.inject_fault(spoil);
     call(cookie), call(cookie + 1), call(cookie + 2);
     net.run_for(300ms);
     std::multiset<Outcome> met;  // connections are chosen in any order
@@ -233,7 +233,7 @@
 TEST_F(LinkTest, ReportsCallsOnMalformedConnectionAsMayHaveRun) {
   load();
   budget.limit = 0, budget.reserve = 1;  // one connection for all calls
-  invoker.spoil_next(Spoil::kMark);
+  invoker.inject_fault(InjectedFault::kBadMagic);
   call(1), call(2), call(3);
   net.run_for(300ms);
   for (std::uint64_t c = 1; c <= 3; ++c) EXPECT_EQ(outcome(c), Outcome::kReset);
@@ -252,7 +252,7 @@
 
 TEST_F(LinkTest, ForgetsCallOnLostConnection) {
   load();
-  invoker.spoil_next(Spoil::kReset);
+  invoker.inject_fault(InjectedFault::kReset);
   call(1), call(2);
   net.run_until([&] { return link.connections() == 1; });
   link.forget_call(1), link.cancel(2);
@@ -263,7 +263,7 @@
 
 TEST_F(LinkTest, LearnsIdleLimitAndRelaxesIt) {
   load();
-  invoker.reset_rested(150ms);
+  invoker.reset_idle_connections(150ms);
   std::uint64_t cookie = 1;
   const auto failed_calls = [&](int rounds, Duration pause) {
     int n = 0;
@@ -279,7 +279,7 @@
   EXPECT_GE(failed_calls(2, 300ms), 1);
   EXPECT_EQ(failed_calls(20, 300ms), 0);  // each pause exceeds the invoker's limit
   EXPECT_LT(link.idle_limit(), 300ms);
-  invoker.reset_rested(0ms);
+  invoker.reset_idle_connections(0ms);
   net.run_for(10min);
   EXPECT_EQ(link.idle_limit(), options.idle_timeout);
 }
@@ -292,7 +292,7 @@
   call(2);
   net.run_for(300ms);
   EXPECT_EQ(outcome(2), Outcome::kOk);
-  invoker.reset_rested(100ms);
+  invoker.reset_idle_connections(100ms);
   call(3);
   net.run_for(60ms);
   EXPECT_NE(outcome(3), Outcome::kOk);
@@ -323,7 +323,7 @@
 
 TEST_F(LinkTest, IgnoresDuplicateAndUnknownAnswers) {
   load();
-  invoker.spoil_next(Spoil::kTwice), invoker.spoil_next(Spoil::kUnknownFirst);
+  invoker.inject_fault(InjectedFault::kDuplicate), invoker.inject_fault(InjectedFault::kUnknownIdFirst);
   call(1);
   net.run_for(100ms);
   call(2);
@@ -337,14 +337,14 @@
 TEST_F(LinkTest, ClosesConnectionAfterTooManyUnexpectedAnswers) {
   options.max_unexpected_answers = 3;
   load();
-  invoker.spoil_next(Spoil::kTwice, 4);
+  invoker.inject_fault(InjectedFault::kDuplicate, 4);
   for (std::uint64_t c = 1; c <= 4; ++c) call(c), net.run_for(100ms);
   EXPECT_EQ(link.connections(), 0U);
 }
 
 TEST_F(LinkTest, RetiresConnectionOfUnansweredCall) {
   load();
-  invoker.spoil_next(Spoil::kSilent);
+  invoker.inject_fault(InjectedFault::kNoAnswer);
   call(1);
   net.run_for(100ms);
   const std::size_t before = link.connections();
@@ -357,7 +357,7 @@
 
 TEST_F(LinkTest, AvoidsUnresponsiveConnectionButKeepsItsCalls) {
   load();
-  invoker.spoil_next(Spoil::kSilent);
+  invoker.inject_fault(InjectedFault::kNoAnswer);
   call(1);
   net.run_for(options.unresponsive_after + 100ms);
   const std::size_t before = link.connections();
@@ -400,7 +400,7 @@
   link.cancel(1);
   net.run_for(100ms);
   EXPECT_EQ(outcome(1), Outcome::kCancelled);
-  EXPECT_TRUE(invoker.calls()[0].given_up);
+  EXPECT_TRUE(invoker.calls()[0].cancelled);
 }
 
 TEST_F(LinkTest, EndsCallOnceWhenCancelRacesAnswer) {
@@ -425,14 +425,14 @@
 TEST_F(LinkTest, DoesNotTakeDuplicateAnswerForNextAttempt) {
   load();
   invoker.refuse_first(99);
-  invoker.copy_at_next_attempt(true);
+  invoker.duplicate_at_next_attempt(true);
   call(1, 77);
   net.run_for(50ms);
   EXPECT_EQ(outcome(1), Outcome::kMiss);
   call(2, 77);
   net.run_for(100ms);
   EXPECT_EQ(outcome(2), Outcome::kOk);
-  EXPECT_EQ(invoker.copies_sent(), 1U);
+  EXPECT_EQ(invoker.duplicates_sent(), 1U);
 }
 
 TEST_F(LinkTest, NeverReusesIdOnConnectionWhenBudgetIsTight) {
