--- a/src/apps/layers.cpp
+++ b/src/apps/layers.cpp
@@ -43,8 +43,8 @@
   auto opened =
       lt::layers::open_disk(o.directory, [&](std::function<void()> task) { loop.post(std::move(task)); });
   if (!opened.disk) return std::cerr << "laureltide-layers: " << opened.why << '\n', 1;
-  if (!o.die_at.empty()) {  // for tests: the process sends itself SIGKILL when a step is reached for the n-th
-                            // time
+  // For tests: the process sends itself SIGKILL when a step is reached for the n-th time.
+  if (!o.die_at.empty()) {
     const std::size_t colon = o.die_at.find(':');
     const int times = colon == std::string::npos ? 1 : std::atoi(o.die_at.c_str() + colon + 1);
     opened.disk->on_step = [step = o.die_at.substr(0, colon),
