--- a/bench/hops.cpp
+++ b/bench/hops.cpp
@@ -33,10 +33,10 @@
 struct Options {
   std::string mode = "amqp";
   std::uint16_t port = 0;
-  std::vector<std::uint16_t> to;
-  std::size_t outstanding = 200, body = 200, functions = 300, workers = 14;
-  double rate = 0, seconds = 5, warm_s = 3, delay_ms = 0;
-  std::size_t ask_bytes = 400, answer_bytes = 400;
+  std::vector<std::uint16_t> worker_ports;
+  std::size_t outstanding = 200, body_bytes = 200, functions = 300, workers = 14;
+  double rate = 0, seconds = 5, warmup_s = 3, delay_ms = 0;
+  std::size_t request_bytes = 400, answer_bytes = 400;
   bool hold_only = false, listen = false, keys = false;
   std::string directory;
   std::size_t records = 1000;
@@ -66,7 +66,7 @@
   void on_answer(std::uint64_t number) {
     const lt::Time now = loop_.now();
     --in_flight_;
-    if (now - start_ > warm()) {
+    if (now - start_ > warmup()) {
       if (answered_++ == 0) measured_from_ = now;
       if (number < sent_at_.size())
         latencies_ms_.push_back(std::chrono::duration<double, std::milli>(now - sent_at_[number]).count());
@@ -89,8 +89,8 @@
             {"p999_ms", quantile(0.999)},
             {"sent", sent_at_.size()}};
   }
-  lt::Duration warm() const {
-    return std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(o_.warm_s));
+  lt::Duration warmup() const {
+    return std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(o_.warmup_s));
   }
 
  protected:
@@ -144,7 +144,7 @@
       endpoint_->attach(std::move(c));
       return endpoint_.get();
     });
-    body_.assign(o.body, 'b');
+    body_.assign(o.body_bytes, 'b');
   }
   std::uint16_t port() const { return listener_->address().port; }
   void on_ready() override {}
@@ -183,7 +183,7 @@
 // Sends blocks of equal size and counts the blocks that come back.
 class RawSource : public LoadSource, public lt::io::ConnectionEvents {
  public:
-  RawSource(lt::net::Loop& loop, const Options& o) : LoadSource(loop, o), block_(o.ask_bytes, 'a') {
+  RawSource(lt::net::Loop& loop, const Options& o) : LoadSource(loop, o), block_(o.request_bytes, 'a') {
     listener_ = loop.listen({"127.0.0.1", o.port}, {}, [this](std::unique_ptr<lt::io::Connection> c) {
       connection_ = std::move(c);
       return this;
@@ -225,8 +225,9 @@
   double cpu_from = 0;
   auto measure = loop.timer([&] { cpu_from = cpu_seconds(pid); });
   auto stop = loop.timer([&] { loop.stop(); });
-  measure->start(std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(o.warm_s)));
-  stop->start(std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(o.warm_s + o.seconds)));
+  measure->start(std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(o.warmup_s)));
+  stop->start(
+      std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(o.warmup_s + o.seconds)));
   loop.run();
   nlohmann::json result = amqp ? amqp->result() : raw->result();
   const double cpu = cpu_seconds(pid) - cpu_from;
@@ -287,7 +288,7 @@
   std::size_t on_bytes(std::string_view bytes) override {
     std::size_t used = 0;
     std::string out;
-    for (; bytes.size() - used >= o_.ask_bytes; used += o_.ask_bytes) out += block_;
+    for (; bytes.size() - used >= o_.request_bytes; used += o_.request_bytes) out += block_;
     if (!out.empty()) connection_->write(out);
     return used;
   }
@@ -332,7 +333,7 @@
 class Relay : public lt::io::ConnectionEvents {
  public:
   Relay(lt::net::Loop& loop, const Options& o) : o_(o) {
-    for (const std::uint16_t port : o.to) {
+    for (const std::uint16_t port : o.worker_ports) {
       workers_.push_back(std::make_unique<WorkerConnection>());
       workers_.back()->relay = this;
       workers_.back()->connection = loop.connect({"127.0.0.1", port}, {}, *workers_.back());
@@ -342,8 +343,8 @@
   std::size_t on_bytes(std::string_view bytes) override {
     if (workers_.size() == 1) return workers_[0]->connection->write(bytes), bytes.size();
     std::size_t used = 0;
-    for (; bytes.size() - used >= o_.ask_bytes; used += o_.ask_bytes)
-      workers_[next_++ % workers_.size()]->connection->write(bytes.substr(used, o_.ask_bytes));
+    for (; bytes.size() - used >= o_.request_bytes; used += o_.request_bytes)
+      workers_[next_++ % workers_.size()]->connection->write(bytes.substr(used, o_.request_bytes));
     return used;
   }
   void on_closed(lt::io::Closed) override { std::exit(0); }
@@ -368,7 +369,7 @@
 class ListeningRelay {
  public:
   ListeningRelay(lt::net::Loop& loop, const Options& o) : o_(o) {
-    for (const std::uint16_t port : o.to) {
+    for (const std::uint16_t port : o.worker_ports) {
       workers_.push_back(std::make_unique<WorkerConnection>());
       workers_.back()->relay = this;
       workers_.back()->connection = loop.connect({"127.0.0.1", port}, {}, *workers_.back());
@@ -388,10 +389,10 @@
     std::unique_ptr<lt::io::Connection> connection;
     std::size_t on_bytes(std::string_view bytes) override {
       std::size_t used = 0;
-      for (; bytes.size() - used >= relay->o_.ask_bytes; used += relay->o_.ask_bytes) {
+      for (; bytes.size() - used >= relay->o_.request_bytes; used += relay->o_.request_bytes) {
         WorkerConnection& worker = *relay->workers_[relay->next_++ % relay->workers_.size()];
         worker.waiting_clients.push_back(this);
-        worker.connection->write(bytes.substr(used, relay->o_.ask_bytes));
+        worker.connection->write(bytes.substr(used, relay->o_.request_bytes));
       }
       return used;
     }
@@ -461,13 +462,13 @@
     ClientConnection& client = *idle_connections_.back();
     idle_connections_.pop_back();
     client.number = number;
-    if (o_.mode == "raw") return client.connection->write(std::string(o_.ask_bytes, 'a'));
+    if (o_.mode == "raw") return client.connection->write(std::string(o_.request_bytes, 'a'));
     lt::http::Request r;
     r.method = "POST", r.target = "/v1/functions/f-" + std::to_string(number % o_.functions) + "/calls";
     r.headers.add("Host", "gateway");
     r.headers.add("Authorization", "Bearer key");
     if (o_.keys) r.headers.add("Idempotency-Key", std::to_string(number));
-    r.body.assign(o_.body, 'b');
+    r.body.assign(o_.body_bytes, 'b');
     std::string out;
     lt::http::write(out, r);
     client.connection->write(out);
@@ -490,8 +491,9 @@
   double cpu_from = 0;
   auto measure = loop.timer([&] { cpu_from = cpu_seconds(pid); });
   auto stop = loop.timer([&] { loop.stop(); });
-  measure->start(std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(o.warm_s)));
-  stop->start(std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(o.warm_s + o.seconds)));
+  measure->start(std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(o.warmup_s)));
+  stop->start(
+      std::chrono::duration_cast<lt::Duration>(std::chrono::duration<double>(o.warmup_s + o.seconds)));
   loop.run();
   nlohmann::json result = all.result();
   const double cpu = cpu_seconds(pid) - cpu_from;
@@ -555,16 +557,16 @@
   auto add_options = [&](CLI::App* s) {
     s->add_option("--mode", o.mode)->check(CLI::IsMember({"amqp", "http", "raw"}));
     s->add_option("--port", o.port);
-    s->add_option("--to", o.to);
+    s->add_option("--to", o.worker_ports);
     s->add_option("--outstanding", o.outstanding);
-    s->add_option("--body", o.body);
+    s->add_option("--body", o.body_bytes);
     s->add_option("--functions", o.functions);
     s->add_option("--workers", o.workers);
     s->add_option("--rate", o.rate);
     s->add_option("--seconds", o.seconds);
-    s->add_option("--warm", o.warm_s);
+    s->add_option("--warm", o.warmup_s);
     s->add_option("--delay-ms", o.delay_ms);
-    s->add_option("--ask-bytes", o.ask_bytes);
+    s->add_option("--ask-bytes", o.request_bytes);
     s->add_option("--answer-bytes", o.answer_bytes);
     s->add_option("--directory", o.directory);
     s->add_option("--records", o.records);
