--- a/src/amqp/endpoint.cpp
+++ b/src/amqp/endpoint.cpp
@@ -314,7 +314,7 @@
   if (state_ == State::kClosing) return end(close_reason_);
   end(why == io::CloseReason::kNeverOpened ? "no connection"
       : why == io::CloseReason::kByPeer    ? "the peer closed the connection"
-                                      : "the connection broke");
+                                           : "the connection broke");
 }
 
 void Endpoint::end(const std::string& why) {
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -436,7 +436,7 @@
 void Link::on_unexpected_answer(InvokerConnection& connection, std::uint64_t id) {
   events_.on_anomaly(worker_, connection.carried.contains(id)
                                   ? "a copy of an answer, or one to what was given up"
-                                                        : "an answer under an id that was never sent there");
+                                  : "an answer under an id that was never sent there");
   if (++connection.unexpected_answers > options_.max_unexpected_answers)
     close_connection(connection, Outcome::kReset, "answers that nobody waits for");
 }
