--- a/src/amqp/endpoint.cpp
+++ b/src/amqp/endpoint.cpp
@@ -25,7 +25,7 @@
     : host_(host), role_(role), options_(std::move(options)), events_(events) {
   options_.frame_max = std::max(options_.frame_max, kMinFrameMax);
   timeout_timer_ =
-      host.timer([this] { end(state_ == State::kClosing ? close_reason_ : "handshake timed out"); });
+      host.timer([this] { end(state_ == State::kClosing ? close_reason_ : "no handshake within its time"); });
   heartbeat_timer_ = host.timer([this] { on_heartbeat_timer(); });
 }
 Endpoint::~Endpoint() = default;
--- a/src/front/message.cpp
+++ b/src/front/message.cpp
@@ -39,14 +39,14 @@
   std::uint32_t size = 0;
   in.readMapBegin(key, value, size);
   if (size > 0 && (key != proto::T_STRING || value != proto::T_STRING))
-    throw InvalidMessage("fields: not a map of strings");
+    throw InvalidMessage("fields: not a map of texts");
   Fields fields;
   for (std::uint32_t i = 0; i < size; ++i) {
     std::string name, text;
     in.readString(name);
     in.readString(text);
     if (!fields.emplace(std::move(name), std::move(text)).second)
-      throw InvalidMessage("fields: duplicate name");
+      throw InvalidMessage("fields: a name twice");
   }
   in.readMapEnd();
   return fields;
@@ -65,12 +65,12 @@
       has_fields = true;
     } else if (id == 2 && type == proto::T_STRING) {
       in.readBinary(request.body);
-      if (request.body.size() > kMaxBodyBytes) throw InvalidMessage("body: exceeds 16 KiB");
+      if (request.body.size() > kMaxBodyBytes) throw InvalidMessage("body: over 16 KiB");
     } else {
       in.skip(type);
     }
   }
-  if (!has_fields) throw InvalidMessage("call: fields are missing");
+  if (!has_fields) throw InvalidMessage("call: no fields");
 }
 
 void read_cancel(Protocol& in, Request& request) {
@@ -86,7 +86,7 @@
     else
       in.skip(type);
   }
-  if (!has_number) throw InvalidMessage("cancel: the call number is missing");
+  if (!has_number) throw InvalidMessage("cancel: no number");
 }
 
 // Appends a frame with a message whose contents `write` writes.
@@ -144,7 +144,7 @@
       return parsed;
     }
     if (type != (cancel ? proto::T_ONEWAY : proto::T_CALL) && !(cancel && type == proto::T_CALL))
-      throw InvalidMessage("wrong message type for this method");
+      throw InvalidMessage("not a message of the type that its method has");
     if (call) {
       parsed.request.method = Request::Method::kCall;
       read_call(in, parsed.request);
@@ -155,7 +155,7 @@
       parsed.request.method = Request::Method::kHealth;
       in.skip(proto::T_STRUCT);
     }
-    if (buffer->available_read() > 0) throw InvalidMessage("trailing bytes after the message");
+    if (buffer->available_read() > 0) throw InvalidMessage("bytes behind the message");
     parsed.kind = Parsed::Kind::kRequest;
   } catch (const std::exception& e) {  // libthrift's exceptions and failed allocations
     parsed.kind = header_read ? Parsed::Kind::kInvalid : Parsed::Kind::kBad;
--- a/src/front/server.cpp
+++ b/src/front/server.cpp
@@ -32,7 +32,7 @@
       Reader in(left);
       const std::uint32_t size = in.u32();
       if (size > kMaxFrameBytes) {  // covers negative lengths too
-        close_with_error("frame length exceeds the maximum");
+        close_with_error("a frame's length is over its bound");
         return bytes.size();
       }
       if (in.left() < size) break;
@@ -67,11 +67,10 @@
   }
   // The reason to close this connection now, or null.
   const char* overdue(Time now) const {
-    if (!has_sent_data_ && now - opened_at_ >= server_.options_.first_byte_timeout)
-      return "no data received in time";
+    if (!has_sent_data_ && now - opened_at_ >= server_.options_.first_byte_timeout) return "it says nothing";
     if (partial_frame_since_ && now - *partial_frame_since_ >= server_.options_.frame_timeout)
-      return "incomplete frame timed out";
-    if (stream_->unsent() > server_.options_.max_unsent_bytes) return "client does not read its answers";
+      return "half a frame";
+    if (stream_->unsent() > server_.options_.max_unsent_bytes) return "it does not read its answers";
     return nullptr;
   }
   void close_with_error(const std::string& why) {
@@ -102,9 +101,10 @@
   void on_message(Parsed parsed) {
     Request& request = parsed.request;
     switch (parsed.kind) {
-      case Parsed::Kind::kBad: return close_with_error("unparsable message: " + parsed.why);
+      case Parsed::Kind::kBad: return close_with_error("no message: " + parsed.why);
       case Parsed::Kind::kInvalid: {
-        if (request.number <= highest_number_) return close_with_error("sequence number does not increase");
+        if (request.number <= highest_number_)
+          return close_with_error("a sequence number that does not run up");
         Reply reply;
         reply.kind = Reply::Kind::kException, reply.text = parsed.why;
         reply.unknown_method = parsed.unknown_method;
@@ -116,7 +116,7 @@
     }
     if (request.method == Request::Method::kCancel) return on_cancel(request.cancelled);
     // A reused number could make the client take a second answer for the first request.
-    if (request.number <= highest_number_) return close_with_error("sequence number does not increase");
+    if (request.number <= highest_number_) return close_with_error("a sequence number that does not run up");
     highest_number_ = request.number;
     if (request.method == Request::Method::kHealth) {
       write_health(scratch_, request.number, server_.events_.healthy());
@@ -137,7 +137,7 @@
     const Time now = server_.host_.now();
     if (now - cancels_since_ >= kCancelWindow) cancels_since_ = now, cancels_ = 0;
     if (++cancels_ > server_.options_.max_cancels_per_second)
-      return close_with_error("too many cancels per second");
+      return close_with_error("too many cancels at once");
     const auto it = ticket_by_number_.find(number);
     if (it == ticket_by_number_.end()) return;  // already answered
     const Ticket ticket = it->second;
@@ -198,7 +198,7 @@
                                                 std::pair(oldest->has_sent_data(), oldest->last_data_at())))
       oldest = c;
   if (!oldest) return false;
-  events_.on_anomaly("closed a client's idle connection to make room for a new one");
+  events_.on_anomaly("ended a client's resting connection to make room");
   // Without any request no answer can be on its way, so a graceful close would only use up one of the limited
   // lingering connections.
   if (oldest->has_sent_data()) oldest->finish();
--- a/src/worker/link.cpp
+++ b/src/worker/link.cpp
@@ -228,7 +228,7 @@
 void Link::on_message(Message message) {
   if (const auto* hello = std::get_if<Hello>(&message)) {
     if (state_ != State::kDialing) return fail_protocol(kUnexpected, "a second hello");
-    if (hello->major != kMajor) return fail_protocol(kVersion, "unsupported major protocol version");
+    if (hello->major != kMajor) return fail_protocol(kVersion, "another major version");
     if (hello->id != static_cast<std::uint32_t>(worker_))
       return fail_protocol(kUnexpected, "another worker answers at this address");
     state_ = State::kReady;
@@ -244,17 +244,16 @@
     }
     return;
   }
-  if (state_ != State::kReady) return fail_protocol(kUnexpected, "a message before the hello");
+  if (state_ != State::kReady) return fail_protocol(kUnexpected, "no hello first");
   if (auto* answer = std::get_if<Answer>(&message)) return on_answer(std::move(*answer));
   if (auto* piece = std::get_if<Piece>(&message)) {
     const auto it = calls_.find(piece->id);
-    if (it == calls_.end())
-      return events_.on_anomaly(worker_, "a piece of an answer to a call that is not in flight");
+    if (it == calls_.end()) return events_.on_anomaly(worker_, "a piece that nobody waits for");
     return events_.on_piece(worker_, it->second, std::move(piece->body));
   }
   if (const auto* held = std::get_if<Held>(&message)) {
     const auto it = holds_.find(held->order);
-    if (it == holds_.end()) return events_.on_anomaly(worker_, "a hold answer without a pending order");
+    if (it == holds_.end()) return events_.on_anomaly(worker_, "a hold answer that nobody waits for");
     const std::uint64_t cookie = it->second;
     holds_.erase(it);
     const Outcome outcome = held->kind == HeldKind::kOk     ? Outcome::kOk
@@ -264,17 +263,17 @@
   }
   if (const auto* probed = std::get_if<Probed>(&message)) {
     const auto it = probes_.find(probed->id);
-    if (it == probes_.end()) return events_.on_anomaly(worker_, "a probe answer without a pending probe");
+    if (it == probes_.end()) return events_.on_anomaly(worker_, "a probe answer that nobody waits for");
     const std::uint64_t cookie = it->second;
     probes_.erase(it);
     return events_.on_probe_end(worker_, cookie, Outcome::kOk, to_load_report(probed->report));
   }
   if (const auto* drain = std::get_if<Drain>(&message)) return on_drain(drain->last_taken);
   if (const auto* error = std::get_if<Error>(&message)) {
-    events_.on_anomaly(worker_, "reported an error: " + error->text);
+    events_.on_anomaly(worker_, "says: " + error->text);
     return;  // the worker closes the connection after it
   }
-  fail_protocol(kUnexpected, "a message type that only controllers send");
+  fail_protocol(kUnexpected, "a controller's message from a worker");
 }
 
 void Link::on_answer(Answer answer) {
--- a/src/worker/protocol.cpp
+++ b/src/worker/protocol.cpp
@@ -125,7 +125,7 @@
   using Kind = ParseResult::Kind;
   if (bytes.size() < 4) return {};
   const std::size_t size = Reader(bytes).u32();
-  if (size > max_frame) return {Kind::kBad, {}, 0, kTooLarge, "frame exceeds the maximum length"};
+  if (size > max_frame) return {Kind::kBad, {}, 0, kTooLarge, "frame longer than its bound"};
   if (size < 1) return {Kind::kBad, {}, 0, kBadFrame, "frame without a type"};
   // The type is checked before the whole frame has arrived, so that garbage is rejected early.
   if (bytes.size() < 5) return {};
@@ -135,7 +135,7 @@
   if (bytes.size() < 4 + size) return {};
   Reader in(bytes.substr(5, size - 1));
   Message message = read(static_cast<FrameType>(type), in);
-  if (!in.done()) return {Kind::kBad, {}, 0, kBadFrame, "frame length does not match its fields"};
+  if (!in.done()) return {Kind::kBad, {}, 0, kBadFrame, "fields do not fit the frame"};
   return {Kind::kMessage, std::move(message), 4 + size, kBadFrame, {}};
 }
 
--- a/src/worker/server.cpp
+++ b/src/worker/server.cpp
@@ -51,7 +51,7 @@
     if (const auto* hello = std::get_if<Hello>(&message)) {
       if (hello_received_ || hello->major != kMajor) {
         fail(hello_received_ ? kUnexpected : kVersion,
-             hello_received_ ? "a second hello" : "this worker supports version 1 only");
+             hello_received_ ? "a second hello" : "this worker speaks version 1");
         break;
       }
       hello_received_ = true;
@@ -61,20 +61,20 @@
       continue;
     }
     if (!hello_received_) {
-      fail(kUnexpected, "a message before the hello");
+      fail(kUnexpected, "no hello first");
       break;
     }
     if (const auto* call = std::get_if<Call>(&message)) {
       if (draining_) continue;  // the drain message already rejected it
       if (call->id != last_call_ + 1) {
-        fail(kUnexpected, "call ids must increase by one");
+        fail(kUnexpected, "call ids rise by one");
         break;
       }
       last_call_ = call->id;
     } else if (std::holds_alternative<Answer>(message) || std::holds_alternative<Piece>(message) ||
                std::holds_alternative<Held>(message) || std::holds_alternative<Probed>(message) ||
                std::holds_alternative<Drain>(message)) {
-      fail(kUnexpected, "a message type that only workers send");
+      fail(kUnexpected, "a worker's message from a controller");
       break;
     } else if (std::holds_alternative<Error>(message)) {
       continue;  // the controller closes the connection after it
