--- a/tests/node/race_test.cpp
+++ b/tests/node/race_test.cpp
@@ -361,9 +361,9 @@
   }
   // The frames on the delayed connection, or none if it never comes up. Waits at most 200 ms for bytes.
   std::vector<int> frames_received() {
-    invoker.room();
+    invoker.free_backlog();
     RawSocket late;
-    if (!run_until([&] { return late = invoker.take(), late.stands(); }, 3s)) return {};
+    if (!run_until([&] { return late = invoker.accept_one(), late.is_connected(); }, 3s)) return {};
     run_until([&] { return !late.read().empty() || late.ended(); }, 200ms);
     return frames(late.read());
   }
@@ -424,7 +424,7 @@
     client = RawSocket(node->address());
     id = next_id;
     client.write(call(1, "release"));
-    ASSERT_TRUE(run_until([&] { return link = invoker.take(), link.stands(); }));
+    ASSERT_TRUE(run_until([&] { return link = invoker.accept_one(), link.is_connected(); }));
     ASSERT_TRUE(run_until([&] { return frames(link.read()) == std::vector<int>{65}; }));
   }
   std::string ok(const std::string& body = "done") {
@@ -454,7 +454,7 @@
   ASSERT_TRUE(run_until([&] { return !reply_kinds(client.read()).empty(); }));
   run_for(50ms);
   EXPECT_EQ(reply_kinds(client.read()), Kinds{"failed"});
-  for (RawSocket s = invoker.take(); s.stands(); s = invoker.take())
+  for (RawSocket s = invoker.accept_one(); s.is_connected(); s = invoker.accept_one())
     for (const int code : frames(s.read())) EXPECT_NE(code, 65);  // the call may have run: no second attempt
 }
 
@@ -521,7 +521,7 @@
       call.name = platform::id_text(c), call.function = platform::id_text(7), call.request_class = "read";
       link.call(std::move(call), std::string(16 << 10, 'x'), c);
       if (c > 1) continue;
-      ASSERT_TRUE(run_until([&] { return peer = invoker.take(), peer.stands(); }));
+      ASSERT_TRUE(run_until([&] { return peer = invoker.accept_one(), peer.is_connected(); }));
       ASSERT_TRUE(run_until([&] { return !peer.read().empty(); }));
     }
   }
@@ -569,7 +569,7 @@
   }
   void SetUp() override {
     call();
-    ASSERT_TRUE(run_until([&] { return peer = invoker.take(), peer.stands(); }));
+    ASSERT_TRUE(run_until([&] { return peer = invoker.accept_one(), peer.is_connected(); }));
     ASSERT_TRUE(run_until([&] { return !peer.read().empty(); }));
     while (link.unsent() == 0 && calls < 4 * kCalls) call();
     ASSERT_GT(link.unsent(), 0U);
@@ -618,7 +618,7 @@
   doc["bus"] = raw.address().text();
   start();
   RawSocket watch;
-  ASSERT_TRUE(run_until([&] { return watch = raw.take(), watch.stands(); }));
+  ASSERT_TRUE(run_until([&] { return watch = raw.accept_one(), watch.is_connected(); }));
   watch.write("HTTP/1.1 200 OK\r\n\r\n:\n\n");
   run_for(100ms);
   const auto current = [&] { return node->core().module().list_is_valid(loop.now()); };
@@ -630,7 +630,7 @@
   });
   blocking_step->start(0ms);
   RawSocket next;
-  ASSERT_TRUE(run_until([&] { return next = raw.take(), next.stands(); }));
+  ASSERT_TRUE(run_until([&] { return next = raw.accept_one(), next.is_connected(); }));
   EXPECT_FALSE(current());
   next.write("HTTP/1.1 200 OK\r\n\r\n:\n\n");
   ASSERT_TRUE(run_until(current));
