--- a/src/controller/core.cpp
+++ b/src/controller/core.cpp
@@ -278,7 +278,7 @@
     if (end.outcome == Outcome::kNotRun || !ready || stale || !may_be_sent) return end_attempt(cookie, end);
     attempt.awaits_ledger = false;
   }
-  worker::Port* to = link(attempt.worker);
+  worker::WorkerLink* to = link(attempt.worker);
   if (!to) {
     CallEnd end;
     end.outcome = Outcome::kConnectFailed;
@@ -309,10 +309,10 @@
         [this, cookie = attempt_cookie(it->first, attempt), end](Time) { end_attempt(cookie, end); });
     return;
   }
-  if (worker::Port* to = link(a.worker)) to->cancel(attempt_cookie(it->first, attempt));
+  if (worker::WorkerLink* to = link(a.worker)) to->cancel(attempt_cookie(it->first, attempt));
 }
 
-void Core::on_call_left(WorkerId, std::uint64_t cookie, std::uint64_t connection) {
+void Core::on_call_sent(WorkerId, std::uint64_t cookie, std::uint64_t connection) {
   const auto it = open_calls_.find(static_cast<std::uint32_t>(cookie >> 8));
   const std::size_t number = cookie & 0xff;
   if (it == open_calls_.end() || number >= it->second->attempts.size()) return;
@@ -364,7 +364,7 @@
     answer.kind = Answer::Kind::kServed;
     answer.body = stream || !open.streamed_body.empty() ? std::move(open.streamed_body) + end.body
                                                         : std::move(end.body);
-    if (answer.body.size() > settings_->gateway.most_body)
+    if (answer.body.size() > settings_->gateway.max_body_bytes)
       answer = {Answer::Kind::kFailed, "the result is longer than the gateway's limit", {}, {}, {}};
     finish(open, std::move(answer));
   } else if (stream && !open.answered) {  // a started stream cannot continue on another attempt
@@ -392,7 +392,7 @@
   const auto number = static_cast<AttemptNumber>(cookie & 0xff);
   if (open.streaming_attempt && open.streaming_attempt != number) return;
   // A result over the size limit fails when it ends; parts beyond the limit are dropped.
-  if (open.streamed_body.size() <= settings_->gateway.most_body) open.streamed_body += body;
+  if (open.streamed_body.size() <= settings_->gateway.max_body_bytes) open.streamed_body += body;
   const bool streamed = settings_->module.classes[open.call.function->request_class].streamed;
   if (!streamed || open.streaming_attempt) return;
   open.streaming_attempt = number;
@@ -424,7 +424,7 @@
   orders_[cookie] = {worker, function, host_.now(), false, instances};
   ++counters_.holds;
   const std::string* name = function_name(function);
-  worker::Port* to = name ? link(worker) : nullptr;
+  worker::WorkerLink* to = name ? link(worker) : nullptr;
   if (!to) {
     deferred_events_.push_back(
         [this, worker, cookie](Time) { on_hold_end(worker, cookie, Outcome::kConnectFailed, 0); });
@@ -446,7 +446,7 @@
 
 void Core::release(WorkerId worker, FunctionId function) {
   const std::string* name = function_name(function);
-  worker::Port* to = name ? link(worker) : nullptr;
+  worker::WorkerLink* to = name ? link(worker) : nullptr;
   if (to) to->release(*name);
 }
 
@@ -454,7 +454,7 @@
   const std::uint64_t cookie = next_order_++;
   orders_[cookie] = {worker, {}, host_.now(), true, 0};
   ++counters_.probes;
-  worker::Port* to = link(worker);
+  worker::WorkerLink* to = link(worker);
   if (!to) {
     deferred_events_.push_back(
         [this, worker, cookie](Time) { on_probe_end(worker, cookie, Outcome::kConnectFailed, {}); });
@@ -474,19 +474,19 @@
 
 // ---- Workers ------------------------------------------------------------------------------------------
 
-worker::Port* Core::link(WorkerId worker) {
+worker::WorkerLink* Core::link(WorkerId worker) {
   const members::Member* member = worker_list_.find(worker);
   const auto it = links_.find(worker);
   if (!member || member->address.port == 0) return it == links_.end() ? nullptr : it->second.get();
   if (it != links_.end() && it->second->address() == member->address) return it->second.get();
   if (it != links_.end() && !it->second->idle())
     return it->second.get();  // keep it until its work in flight has ended
-  std::unique_ptr<worker::Port> created;
+  std::unique_ptr<worker::WorkerLink> created;
   if (options_.port)
     created = options_.port(worker, member->address, *this);
   else
     created = make_ltwp_link(worker, member->address);
-  worker::Port* made = created.get();
+  worker::WorkerLink* made = created.get();
   if (it != links_.end())
     dead_links_.bury(std::exchange(it->second, std::move(created)));
   else
@@ -494,13 +494,13 @@
   return made;
 }
 
-std::unique_ptr<worker::Port> Core::make_ltwp_link(WorkerId worker, const io::Address& address) {
+std::unique_ptr<worker::WorkerLink> Core::make_ltwp_link(WorkerId worker, const io::Address& address) {
   worker::LinkOptions options;
   options.controller = settings_->module.replica_index;
   options.controller_name = settings_->gateway.name;
   options.started_unix_ms = started_unix_ms_;
   options.dial_timeout = settings_->module.bounds.dial_timeout;
-  options.max_frame = static_cast<std::uint32_t>(settings_->gateway.most_body + (64U << 10));
+  options.max_frame = static_cast<std::uint32_t>(settings_->gateway.max_body_bytes + (64U << 10));
   return std::make_unique<worker::Link>(host_, worker, address, options, *this);
 }
 
@@ -547,9 +547,9 @@
   notify_module([this, at](Time now) { module_->on(now, ListFreshness{at}); });
 }
 
-void Core::on_oddity(WorkerId worker, const std::string& what) {
+void Core::on_anomaly(WorkerId worker, const std::string& what) {
   ++counters_.anomalies;
-  events_.on_oddity("worker " + std::to_string(static_cast<std::uint32_t>(worker)) + ": " + what);
+  events_.on_anomaly("worker " + std::to_string(static_cast<std::uint32_t>(worker)) + ": " + what);
 }
 
 const std::string* Core::function_name(FunctionId function) const {
@@ -675,7 +675,7 @@
       const auto it = orders_.find(due.token);
       if (it == orders_.end()) return;
       const Order order = it->second;
-      if (worker::Port* to = link(order.worker)) to->forget_hold(due.token);
+      if (worker::WorkerLink* to = link(order.worker)) to->forget_hold(due.token);
       order.probe ? on_probe_end(order.worker, due.token, Outcome::kTimeout, {})
                   : on_hold_end(order.worker, due.token, Outcome::kTimeout, 0);
       return;
--- a/src/controller/gateway.h
+++ b/src/controller/gateway.h
@@ -35,7 +35,7 @@
   // Applies changed functions and brokers; a change that needs a restart is logged and ignored.
   void reload(std::shared_ptr<const config::Settings> settings);
   // Accepts no new calls and answers the open ones. `done` is invoked when all are answered, or after the
-  // settings' drain_within.
+  // settings' drain_timeout.
   void drain(std::function<void(bool all_answered)> done);
 
   // The address of the invoke API; nothing if it is disabled or cannot listen.
@@ -47,7 +47,7 @@
   // ---- CoreEvents ----
   void on_call_finished(const CallSummary& ended) override { events_.on_call_finished(ended); }
   void on_log(const std::string& line) override { events_.on_log_line(LogLevel::kInfo, "module: " + line); }
-  void on_oddity(const std::string& line) override { events_.on_log_line(LogLevel::kWarn, line); }
+  void on_anomaly(const std::string& line) override { events_.on_log_line(LogLevel::kWarn, line); }
   void on_send_to_peer(std::optional<std::uint32_t> peer, std::span<const std::byte> bytes) override;
 
  private:
--- a/src/controller/invoke.cpp
+++ b/src/controller/invoke.cpp
@@ -23,9 +23,9 @@
 
 http::ServerOptions server_options(const config::Settings& settings) {
   http::ServerOptions o;
-  o.limits.max_body_bytes = settings.gateway.most_body;
-  o.header_timeout = settings.invoke.head_within, o.body_timeout = settings.invoke.body_within;
-  o.max_connections = settings.invoke.most_connections;
+  o.limits.max_body_bytes = settings.gateway.max_body_bytes;
+  o.header_timeout = settings.invoke.header_timeout, o.body_timeout = settings.invoke.body_timeout;
+  o.max_connections = settings.invoke.max_connections;
   return o;
 }
 
@@ -315,7 +315,7 @@
     if (const std::string why = book_->closed(); !why.empty())
       return respond_with_problem(ticket, 503, why, std::move(headers));
     const ledger::Book::Usage usage = book_->usage(front(parsed.tenant));
-    if (usage.records >= options_.most_deferred || usage.bytes >= options_.most_deferred_mb << 20)
+    if (usage.records >= options_.max_deferred || usage.bytes >= options_.max_deferred_mb << 20)
       return respond_with_problem(ticket, 429, "the tenant has reached its limit of deferred and named calls",
                                   std::move(headers));
   }
--- a/src/controller/invoke.h
+++ b/src/controller/invoke.h
@@ -4,7 +4,7 @@
 // A call with an Idempotency-Key and a deferred call have a record in the ledger under `http/<tenant>`. A
 // plain call has none, and is abandoned when its client disconnects.
 //
-// Bounds: http::ServerOptions; `most_deferred` and `most_deferred_mb` for each tenant (429); 16 clients
+// Bounds: http::ServerOptions; `max_deferred` and `max_deferred_mb` for each tenant (429); 16 clients
 // waiting for one call (429); 64 concurrent callbacks, further ones queue; each callback is tried
 // `callback_attempts` times between restarts.
 #pragma once
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -255,7 +255,7 @@
   config.settings.gateway.name = config.name;
   // Returning an answer takes less time than the rules' answer grace.
   config.settings.gateway.answer_reserve = config.settings.module.rules.answer_grace;
-  config.settings.gateway.most_body = platform::kMaxBodyBytes;
+  config.settings.gateway.max_body_bytes = platform::kMaxBodyBytes;
   if (config.settings.module.tick <= Duration(0))
     throw ConfigError("settings.tick_ns: expected a time above 0");
   if (config.settings.module.classes.empty())
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -42,7 +42,7 @@
 
 front::ServerOptions front_options(const Config& config) {
   front::ServerOptions options;
-  options.most_connections = socket_share(config.limits, kClientSocketShare);
+  options.max_connections = socket_share(config.limits, kClientSocketShare);
   return options;
 }
 
@@ -312,11 +312,11 @@
   }
   // Only calls that a client still waits for count; abandoned ones end by themselves.
   const bool all_read =
-      front_.unsent() == 0 && now - std::max(listener_closes_at_, front_.last_heard()) >= kQuietPeriod;
+      front_.unsent() == 0 && now - std::max(listener_closes_at_, front_.last_received()) >= kQuietPeriod;
   const bool settled = open_calls_.empty() && (all_read || now >= kill_deadline_);
   if (!closing_clients_ && !settled) return drain_timer_->start(kDrainCheckInterval);
   if (!std::exchange(closing_clients_, true)) {
-    front_.finish_idle();
+    front_.close_idle_connections();
     return drain_timer_->start(kCloseDelay);
   }
   log_line_(Severity::kInfo, "all calls answered; exiting");
@@ -333,7 +333,7 @@
   anomaly_counts_[kind] = 1;
   log_line_(Severity::kWarn, what);
 }
-void Node::on_oddity(const std::string& what) { report_anomaly(what); }
+void Node::on_anomaly(const std::string& what) { report_anomaly(what); }
 void Node::on_log(const std::string& line) { report_anomaly("module: " + line); }
 // A line per call would exceed the memory available for the log, so these lines are off by default.
 void Node::on_call_finished(const controller::CallSummary& ended) {
--- a/src/platform/link.h
+++ b/src/platform/link.h
@@ -42,7 +42,7 @@
 
 #include "base/io.h"
 #include "platform/frame.h"
-#include "worker/port.h"
+#include "worker/worker_link.h"
 
 namespace laureltide::platform {
 
@@ -72,7 +72,7 @@
 };
 
 // The link to one invoker. See the head of this file.
-class Link : public worker::Port {
+class Link : public worker::WorkerLink {
  public:
   Link(io::Host& host, WorkerId worker, io::Address address, const LinkOptions& options,
        ConnectionBudget& budget, worker::LinkEvents& events);
--- a/tests/platform/link_test.cpp
+++ b/tests/platform/link_test.cpp
@@ -104,7 +104,7 @@
     holds[c].emplace_back(o, n);
   }
   void on_probe_end(WorkerId, std::uint64_t c, Outcome o, LoadReport) override { probes[c].push_back(o); }
-  void on_oddity(WorkerId, const std::string&) override { ++oddities; }
+  void on_anomaly(WorkerId, const std::string&) override { ++oddities; }
   bool may_start_work(WorkerId) override { return worker_may_start_work; }
   bool may_be_sent(WorkerId, std::uint64_t cookie) override { return !withdrawn.contains(cookie); }
   bool worker_may_start_work = true;
