--- a/tests/controller/gateway_test.cpp
+++ b/tests/controller/gateway_test.cpp
@@ -195,7 +195,7 @@
 TEST(Gateway, LostCommitOkDoesNotRepeatAnswer) {
   GatewayFixture fixture;
   fixture.start();
-  fixture.broker.lose_commits(1);
+  fixture.broker.drop_commit_replies(1);
   const std::string name = fixture.call("gate");
   ASSERT_TRUE(fixture.wait_answer(name));
   fixture.net.run_for(5s);
@@ -207,7 +207,7 @@
 TEST(Gateway, RejectedCommitIsRetriedWithSameAnswer) {
   GatewayFixture fixture;
   fixture.start();
-  fixture.broker.refuse_commits(1);
+  fixture.broker.drop_commits(1);
   const std::string name = fixture.call("gate");
   ASSERT_TRUE(fixture.wait_answer(name));
   EXPECT_TRUE(settled(fixture));
@@ -219,12 +219,12 @@
 TEST(Gateway, RedeliveredOnceCallFailsAfterRestartInsteadOfRunning) {
   GatewayFixture fixture;
   fixture.start();
-  fixture.worker(1).set_slow(50), fixture.worker(2).set_slow(50);
+  fixture.worker(1).set_slowdown(50), fixture.worker(2).set_slowdown(50);
   const std::string gate = fixture.call("gate"), echo = fixture.call("echo");
   ASSERT_TRUE(
       fixture.net.run_until([&] { return fixture.run_count(gate) == 1 && fixture.run_count(echo) == 1; }));
   fixture.gateway.reset();  // killed: nothing more is sent
-  fixture.worker(1).set_slow(1), fixture.worker(2).set_slow(1);
+  fixture.worker(1).set_slowdown(1), fixture.worker(2).set_slowdown(1);
   fixture.start_gateway(8);
   ASSERT_TRUE(fixture.wait_answer(gate));
   ASSERT_TRUE(fixture.wait_answer(echo));
@@ -237,14 +237,14 @@
 TEST(Gateway, StopsConsumingFromBrokerThatStopsReading) {
   GatewayFixture fixture(2, 1, settings());
   fixture.start();
-  fixture.broker.set_deaf(true, "gw-0");
+  fixture.broker.set_reading_paused(true, "gw-0");
   std::string body(900'000, 'b');
   for (int i = 0; i < 40; ++i) fixture.call("echo", {"", "", "", "", "", body, 30'000, true});
   fixture.net.run_for(3s);  // shorter than the broker's heartbeat timeout
   // 40 answers of 900 kB do not pile up in the transport: they wait in the gateway, bounded by prefetch.
   const std::size_t held = fixture.tape.count("answer");
   EXPECT_LE(fixture.net.unsent(fixture.broker_at), 6U << 20);
-  fixture.broker.set_deaf(false, "gw-0");
+  fixture.broker.set_reading_paused(false, "gw-0");
   ASSERT_TRUE(fixture.net.run_until([&] { return fixture.caller->answers().size() == 40; }, 60s));
   EXPECT_EQ(held, 0U);
   EXPECT_TRUE(settled(fixture));
@@ -279,7 +279,7 @@
   fixture.start();
   const std::string name = fixture.call("gate");
   ASSERT_TRUE(fixture.net.run_until([&] { return fixture.run_count(name) == 1; }));
-  fixture.broker.set_mute(true, "gw-0");
+  fixture.broker.set_writing_paused(true, "gw-0");
   ASSERT_TRUE(fixture.net.run_until([&] { return fixture.log.contains("no heartbeat"); }, 15s));
   ASSERT_TRUE(fixture.wait_answer(name));
   fixture.net.run_for(3s);
@@ -325,10 +325,10 @@
   };
   standin::Caller other(fixture.net, {fixture.broker_at, "other", "calls", "short-lived"}, fixture.tape);
   ASSERT_TRUE(fixture.net.run_until([&] { return other.ready(); }));
-  fixture.worker(1).set_slow(20), fixture.worker(2).set_slow(20);
+  fixture.worker(1).set_slowdown(20), fixture.worker(2).set_slowdown(20);
   other.call({"lost", "echo", "", "", "", "b", {}, true});
   ASSERT_TRUE(fixture.net.run_until([&] { return fixture.run_count("lost") == 1; }));
-  fixture.broker.drop("short-lived");
+  fixture.broker.delete_queue("short-lived");
   ASSERT_TRUE(fixture.net.run_until([&] { return fixture.log.contains("an answer could not be routed"); }));
   EXPECT_TRUE(settled(fixture));
 }
@@ -364,7 +364,7 @@
   narrow->module.bounds.max_open = 3;
   GatewayFixture fixture(1, 1, narrow);
   fixture.start();
-  fixture.worker(1).set_slow(20);
+  fixture.worker(1).set_slowdown(20);
   for (int i = 0; i < 10; ++i) fixture.call("echo");
   ASSERT_TRUE(fixture.net.run_until([&] { return fixture.caller->answers().size() == 10; }));
   EXPECT_LE(fixture.tape.count("ran"), 3U);
@@ -377,12 +377,12 @@
 TEST(Gateway, FailsOnceCallWhenWorkerResetsBeforeAnswering) {
   GatewayFixture fixture;
   fixture.start();
-  for (std::uint32_t id : {1, 2}) fixture.worker(id).take_and_reset(1000);
+  for (std::uint32_t id : {1, 2}) fixture.worker(id).reset_after_calls(1000);
   const std::string gate = fixture.call("gate");
   ASSERT_TRUE(fixture.wait_answer(gate));
   EXPECT_EQ(fixture.outcome(gate), "failed");  // it may have run: neither retried nor refused
   EXPECT_EQ(fixture.tape.count("call", gate) - fixture.tape.count("answered", gate), 1U);
-  for (std::uint32_t id : {1, 2}) fixture.worker(id).take_and_reset(0);
+  for (std::uint32_t id : {1, 2}) fixture.worker(id).reset_after_calls(0);
   const std::string echo = fixture.call("echo");
   ASSERT_TRUE(fixture.wait_answer(echo));
   EXPECT_EQ(fixture.outcome(echo), "served");
@@ -406,7 +406,7 @@
   fixture.start();
   fixture.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(fixture.wait_answer("first"));
-  for (std::uint32_t id : {1, 2}) fixture.worker(id).answer_late(1, 4s);
+  for (std::uint32_t id : {1, 2}) fixture.worker(id).delay_answers(1, 4s);
   const std::string late = fixture.call("gate");
   ASSERT_TRUE(fixture.wait_answer(late));
   EXPECT_EQ(fixture.outcome(late), "failed");
@@ -414,8 +414,8 @@
   EXPECT_EQ(fixture.answers(late), 1U);
   EXPECT_TRUE(fixture.log.contains("nobody waits for any more"));
   for (std::uint32_t id : {1, 2})
-    fixture.worker(id).answer_late(0, 0s), fixture.worker(id).answer_twice(1),
-        fixture.worker(id).answer_ghosts(1);
+    fixture.worker(id).delay_answers(0, 0s), fixture.worker(id).duplicate_answers(1),
+        fixture.worker(id).send_unknown_answers(1);
   fixture.call("gate", {"again", "", "", "", "", "", {}, true});
   ASSERT_TRUE(fixture.wait_answer("again"));
   fixture.net.run_for(1s);
@@ -429,7 +429,7 @@
   fixture.start();
   fixture.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(fixture.wait_answer("first"));
-  fixture.worker(1).set_slow(100);
+  fixture.worker(1).set_slowdown(100);
   std::vector<std::string> names;
   for (int i = 0; i < 199; ++i) names.push_back(fixture.call("gate", {"", "", "", "", "", "", 20'000, true}));
   ASSERT_TRUE(fixture.net.run_until([&] { return fixture.tape.count("call") >= 200; }, 5s) || true);
@@ -452,7 +452,7 @@
   fixture.start();
   fixture.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(fixture.wait_answer("first"));
-  fixture.worker(1).set_slow(10), fixture.worker(2).set_slow(10);
+  fixture.worker(1).set_slowdown(10), fixture.worker(2).set_slowdown(10);
   const std::string name = fixture.call("gate");
   ASSERT_TRUE(fixture.net.run_until([&] { return fixture.run_count(name) == 1; }));
   fixture.set_worker_state(1, WorkerState::kGone), fixture.set_worker_state(2, WorkerState::kGone);
@@ -471,7 +471,7 @@
   GatewayFixture fixture(2);
   fixture.start();
   fixture.net.run_for(100ms);
-  fixture.list.send_old(1);  // an older list without workers
+  fixture.list.send_outdated_list(1);  // an older list without workers
   fixture.net.run_for(100ms);
   const std::string name = fixture.call("echo");
   ASSERT_TRUE(fixture.wait_answer(name));
@@ -483,7 +483,7 @@
   fixture.start();
   for (int i = 0; i < 20; ++i) fixture.set_worker_state(2, WorkerState::kReady);
   fixture.net.run_for(100ms);
-  fixture.list.rebirth();  // counts from 1 again, in a later epoch
+  fixture.list.begin_new_epoch();  // counts from 1 again, in a later epoch
   fixture.net.run_for(100ms);
   fixture.set_worker_state(1, WorkerState::kGone), fixture.set_worker_state(2, WorkerState::kGone);
   fixture.net.run_for(1500ms);
@@ -609,7 +609,7 @@
   fixture.start();
   fixture.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(fixture.wait_answer("first"));
-  fixture.worker(1).set_silent(true), fixture.worker(2).set_silent(true);
+  fixture.worker(1).set_unresponsive(true), fixture.worker(2).set_unresponsive(true);
   const Time sent = fixture.net.now();
   const std::string name = fixture.call("gate", {"", "", "", "", "", "", 1500, true});
   ASSERT_TRUE(fixture.wait_answer(name));
@@ -640,11 +640,11 @@
   fixture.start();
   fixture.call("gate", {"first", "", "", "", "", "", {}, true});  // takes the last id
   ASSERT_TRUE(fixture.wait_answer("first"));
-  fixture.worker(1).set_slow(60), fixture.worker(2).set_slow(60);
+  fixture.worker(1).set_slowdown(60), fixture.worker(2).set_slowdown(60);
   const std::string slow = fixture.call("gate", {"", "", "", "", "", "", 20'000, true});  // id 1, stays open
   ASSERT_TRUE(fixture.net.run_until([&] { return fixture.run_count(slow) == 1; }));
   fixture.gateway->core().set_next_request_id(0);  // 0 is not a valid id, 1 is open
-  fixture.worker(1).set_slow(1), fixture.worker(2).set_slow(1);
+  fixture.worker(1).set_slowdown(1), fixture.worker(2).set_slowdown(1);
   const std::string quick = fixture.call("gate");
   ASSERT_TRUE(fixture.wait_answer(quick));
   ASSERT_TRUE(fixture.wait_answer(slow));
@@ -772,7 +772,7 @@
   fixture.start();
   fixture.call("gate", {"first", "", "", "", "", "", {}, true});
   ASSERT_TRUE(fixture.wait_answer("first"));
-  fixture.worker(1).set_slow(20), fixture.worker(2).set_slow(20);
+  fixture.worker(1).set_slowdown(20), fixture.worker(2).set_slowdown(20);
   std::vector<std::string> taken;
   for (int i = 0; i < 5; ++i) taken.push_back(fixture.call("gate"));
   ASSERT_TRUE(fixture.net.run_until([&] { return fixture.gateway->core().open() == 5; }));
@@ -791,7 +791,7 @@
   fixture.net.run_for(100ms);
   EXPECT_EQ(fixture.answers(after), 0U);
   EXPECT_EQ(fixture.broker.depth("calls"), 1U);  // left for the next consumer
-  fixture.worker(1).set_slow(1), fixture.worker(2).set_slow(1);
+  fixture.worker(1).set_slowdown(1), fixture.worker(2).set_slowdown(1);
   fixture.start_gateway(9);
   EXPECT_TRUE(fixture.wait_answer(after));
 }
@@ -820,7 +820,7 @@
   GatewayFixture fixture(2);
   fixture.start();
   ASSERT_TRUE(fixture.wait_answer(fixture.call("gate")));
-  fixture.worker(1).set_slow(40), fixture.worker(2).set_slow(40);
+  fixture.worker(1).set_slowdown(40), fixture.worker(2).set_slowdown(40);
   const std::string name = fixture.call("gate");
   ASSERT_TRUE(fixture.net.run_until([&] { return fixture.run_count(name) == 1; }));
   auto without = std::make_shared<config::Settings>(*settings());
@@ -882,26 +882,26 @@
     switch (fixture.net.random() % 24) {
       case 0: fixture.broker.break_connections("gw-0"); break;
       case 1: fixture.broker.close_channels(amqp::ReplyCode::kPreconditionFailed, "by chance", "gw-0"); break;
-      case 2: w.take_and_reset(1); break;
+      case 2: w.reset_after_calls(1); break;
       case 3: w.reset_answers(1); break;
-      case 4: w.answer_twice(1), w.answer_ghosts(1); break;
-      case 5: w.answer_late(1, 4s); break;
+      case 4: w.duplicate_answers(1), w.send_unknown_answers(1); break;
+      case 5: w.delay_answers(1, 4s); break;
       case 6: w.crash(); break;
       case 7:
         if (!w.up()) w.start(w.address(), false);
         break;
-      case 8: w.void_copies(); break;
-      case 9: fixture.broker.refuse_commits(1); break;
+      case 8: w.discard_instances(); break;
+      case 9: fixture.broker.drop_commits(1); break;
       case 10: w.set_load_fails(fixture.net.random() % 2); break;
       case 11: w.set_full(fixture.net.random() % 2); break;
       case 12: fixture.net.break_connections(w.address()); break;
-      case 13: w.set_silent(true); break;
-      case 14: w.set_silent(false); break;
+      case 13: w.set_unresponsive(true); break;
+      case 14: w.set_unresponsive(false); break;
       default: break;
     }
   }
   for (std::uint32_t id = 1; id <= 4; ++id) {
-    fixture.worker(id).set_silent(false), fixture.worker(id).set_full(false),
+    fixture.worker(id).set_unresponsive(false), fixture.worker(id).set_full(false),
         fixture.worker(id).set_load_fails(false);
     if (!fixture.worker(id).up()) fixture.worker(id).start(GatewayFixture::worker_at(id), false);
   }
--- a/tests/front/front_test.cpp
+++ b/tests/front/front_test.cpp
@@ -47,7 +47,8 @@
 
 TEST(FrontMessage, BoundsOfBodyAndFields) {
   EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMaxBodyBytes, 'x'))).kind, Parsed::Kind::kRequest);
-  EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMaxBodyBytes + 1, 'x'))).kind, Parsed::Kind::kInvalid);
+  EXPECT_EQ(parse(frame_of(1, {{"a", "b"}}, std::string(kMaxBodyBytes + 1, 'x'))).kind,
+            Parsed::Kind::kInvalid);
   Fields many;
   for (int i = 0; i < 100; ++i) many[std::to_string(i)] = "x";
   EXPECT_EQ(parse(frame_of(1, many, "")).kind, Parsed::Kind::kInvalid);
@@ -245,7 +246,7 @@
   auto client = std::make_unique<PlatformClient>(net, kAt);
   client->call({{"n", "x"}}, "");
   net.run_for(20ms);
-  client->hang_up();
+  client->disconnect();
   net.run_for(20ms);
   EXPECT_EQ(gone.size(), 1U);
   EXPECT_EQ(server.open_calls(), 0U);
