--- a/src/controller/owed.cpp
+++ b/src/controller/owed.cpp
@@ -16,7 +16,7 @@
   // If the function is unknown, so is its class: the strictest semantics apply.
   const ledger::Effect effect =
       function ? effect_of(settings.module.classes[function->request_class]) : ledger::Effect{};
-  ledger::Ruling ruling = ledger::rule_on_owed(record, effect, now_ms);
+  ledger::RecoveryDecision ruling = ledger::decide_on_owed(record, effect, now_ms);
   const bool runs = ruling.verdict == Verdict::kRun || ruling.verdict == Verdict::kRunUntil;
   if (runs && !function) {
     ruling.verdict = record.may_have_run() ? Verdict::kFail : Verdict::kRefuse;
--- a/src/controller/trigger.cpp
+++ b/src/controller/trigger.cpp
@@ -41,7 +41,7 @@
 }  // namespace
 
 TriggerFront::TriggerFront(io::Host& host, Core& core, config::Broker broker, std::string gateway_name,
-                           Log log, ledger::Book* book)
+                           Log log, ledger::CallLedger* book)
     : host_(host),
       core_(core),
       broker_(std::move(broker)),
@@ -72,7 +72,8 @@
   }
   if (book_)
     for (const auto& queue : queues_) {
-      broker_.sole_reader ? book_->begin_tenure(queue->front) : book_->end_tenure(queue->front);
+      broker_.sole_reader ? book_->begin_exclusive_reading(queue->front)
+                          : book_->end_exclusive_reading(queue->front);
       recover_owed_calls(*queue);
     }
   reconnect_timer_->start(Duration(0));
@@ -116,7 +117,7 @@
 
 void TriggerFront::on_ended(const std::string& why) {
   log_(true, "broker " + broker_.name + ": connection ended: " + why);
-  dead_.bury(std::move(endpoint_));
+  dead_.delete_later(std::move(endpoint_));
   for (const auto& queue : queues_) reset_channel(*queue);
   if (!(draining_ && drained())) reconnect_timer_->start(next_backoff(backoff_));
 }
@@ -193,7 +194,7 @@
   } else if (const auto* left = std::get_if<amqp::QueueDeclareOk>(&method)) {
     queue->depth_requested = false;
     if (left->message_count == 0 && queue->unacknowledged == 0 && queue->consuming)
-      book_->whole(queue->front);
+      book_->mark_complete(queue->front);
     else
       queue->retry_timer->start(kCoverageCheckInterval);
   } else if (std::holds_alternative<amqp::BasicCancel>(method)) {
@@ -204,7 +205,7 @@
     queue->reopen_timer->start(next_backoff(queue->backoff));
   } else if (std::holds_alternative<amqp::TxCommitOk>(method)) {
     queue->commit_in_flight = false;
-    if (book_) book_->step("commit-known");
+    if (book_) book_->crash_point("commit-known");
     for (const Reply& reply : std::exchange(queue->committing, {})) on_reply_settled(*queue, reply);
     send_outgoing(*queue);
   } else if (const auto* ack = std::get_if<amqp::BasicAck>(&method)) {
@@ -258,7 +259,7 @@
       book_ && parsed->named &&
       (on_take || parsed->effect.semantics != Semantics::kRepeatable || core_.settings().ledger.all_calls);
   if (recorded) {
-    if (const std::string why = book_->closed(); !why.empty()) {
+    if (const std::string why = book_->refusal_reason(); !why.empty()) {
       --queue.unacknowledged;
       requeue(queue, deliver.delivery_tag);
       return pause(why);
@@ -399,7 +400,7 @@
   const ledger::Record* known = book_->find(key);
   if (known && parsed.redelivered) {
     // Only its acknowledgement was lost: acknowledge again once the ledger's pending writes are durable.
-    return book_->settle([this, &queue, name, delivery = parsed.delivery, alive = alive_] {
+    return book_->when_durable([this, &queue, name, delivery = parsed.delivery, alive = alive_] {
       if (*alive) acknowledge(queue, name, delivery);
     });
   }
@@ -421,8 +422,8 @@
                                 true});
         });
   }
-  const ledger::Ruling ruling =
-      book_->on_message(queue.front, name, parsed.effect, parsed.redelivered && !known);
+  const ledger::RecoveryDecision ruling =
+      book_->decide(queue.front, name, parsed.effect, parsed.redelivered && !known);
   if (ruling.verdict == ledger::Verdict::kFail)
     return reject(queue, std::move(parsed.delivery), Answer::Kind::kFailed, ruling.reason, name);
   if (!capacity_problem(queue).empty()) {  // it stays unacknowledged; prefetch bounds how many
@@ -472,7 +473,8 @@
   for (const ledger::ReplyTo& to : record->replies)
     if (!to.to.empty()) replies.push_back({name, {0, 0, to.to, to.correlation}, answer, true});
   if (replies.empty())  // no reply is wanted; the message may still be redelivered
-    return book_->delivered(queue.intake.key(name), ledger::Delivered::kUnsure, kLostAcknowledgementTtlMs);
+    return book_->delivered(queue.intake.key(name), ledger::AfterDelivery::kKeepWithoutAnswer,
+                            kLostAcknowledgementTtlMs);
   queue.unconfirmed_replies[name] += replies.size();
   for (Reply& reply : replies) enqueue_reply(queue, std::move(reply));
 }
@@ -485,7 +487,7 @@
 // Recovers the calls that were owed when the gateway ended, oldest first, before any new ones.
 void TriggerFront::recover_owed_calls(Queue& queue) {
   for (std::string& key : book_->owed(queue.front)) {
-    book_->step("owed-found");
+    book_->crash_point("owed-found");
     queue.backlog.push_back(std::move(key));
   }
   if (!queue.backlog.empty())
@@ -530,7 +532,7 @@
 
 void TriggerFront::check_pause() {
   if (!paused_) return;
-  if (!book_->closed().empty()) return pause_timer_->start(kPauseCheckInterval);
+  if (!book_->refusal_reason().empty()) return pause_timer_->start(kPauseCheckInterval);
   paused_ = false;
   log_(false, "broker " + broker_.name + ": calls are taken again");
   if (!endpoint_ || !endpoint_->ready() || draining_) return;
@@ -552,7 +554,7 @@
   if (!broker_.sole_reader || queue.depth_requested || !queue.channel_ready || !endpoint_ ||
       !endpoint_->ready())
     return;
-  if (book_->coverage(queue.front) == ledger::Coverage::kWhole) return;
+  if (book_->coverage(queue.front) == ledger::Coverage::kComplete) return;
   amqp::QueueDeclare ask;
   ask.queue = queue.name;
   ask.passive = true;
@@ -614,7 +616,7 @@
     queue.committing = std::exchange(queue.uncommitted, {});
     queue.commit_in_flight = true;
     endpoint_->send(queue.channel, amqp::TxCommit{});
-    if (book_) book_->step("commit-sent");
+    if (book_) book_->crash_point("commit-sent");
   }
   update_reading();
 }
@@ -635,7 +637,7 @@
       p.headers->set("retry-after-ms",
                      static_cast<std::int64_t>(reply.answer->retry_after.count() / 1'000'000));
     endpoint_->send_content(queue.channel, method, p, reply.answer->body);
-    if (book_) book_->step("answer-given");
+    if (book_) book_->crash_point("answer-given");
   }
   if (reply.owed) return void(queue.unconfirmed.emplace(++queue.publish_sequence, std::move(reply)));
   if (transactions || !reply_wanted)
@@ -659,9 +661,10 @@
     const auto acknowledged = queue.acknowledged.find(reply.name);
     const bool certain = acknowledged != queue.acknowledged.end() && acknowledged->second == queue.epoch;
     if (acknowledged != queue.acknowledged.end()) queue.acknowledged.erase(acknowledged);
-    return book_->delivered(queue.intake.key(reply.name),
-                            certain ? ledger::Delivered::kCertain : ledger::Delivered::kUnsure,
-                            kLostAcknowledgementTtlMs);
+    return book_->delivered(
+        queue.intake.key(reply.name),
+        certain ? ledger::AfterDelivery::kDropRecord : ledger::AfterDelivery::kKeepWithoutAnswer,
+        kLostAcknowledgementTtlMs);
   }
   if (queue.unacknowledged > 0) --queue.unacknowledged;
   if (!reply.name.empty())
--- a/src/members/list_subscriber.h
+++ b/src/members/list_subscriber.h
@@ -21,7 +21,7 @@
   void request_full_list();
   void on_open() override;
   std::size_t on_bytes(std::string_view bytes) override;
-  void on_closed(io::Closed reason) override;
+  void on_closed(io::CloseReason reason) override;
 
  private:
   static constexpr std::size_t kMaxLineBytes = 16U << 20;
--- a/src/platform/link.cpp
+++ b/src/platform/link.cpp
@@ -117,16 +117,16 @@
     if (connection_ && !in_flight.empty()) awaiting_since = link_.host_.now();
     return used;
   }
-  void on_closed(io::Closed why) override {
+  void on_closed(io::CloseReason why) override {
     if (!open) return link_.close_connection(*this, Outcome::kConnectFailed, "no connection");
     // Closed by the peer while idle, or in response to the first frame after an idle period.
     const Duration since_activity = link_.host_.now() - last_activity;
     if (in_flight.empty())
       link_.learn_idle_limit(since_activity);
-    else if (why == io::Closed::kBroken && since_activity < link_.options_.crash_window)
+    else if (why == io::CloseReason::kBroken && since_activity < link_.options_.crash_window)
       link_.learn_idle_limit(idle_time);
-    link_.on_connection_lost(
-        *this, why == io::Closed::kByPeer ? "the invoker closed the connection" : "the connection broke");
+    link_.on_connection_lost(*this, why == io::CloseReason::kByPeer ? "the invoker closed the connection"
+                                                                    : "the connection broke");
   }
 
  private:
@@ -490,7 +490,7 @@
     const bool answer_malformed = malformed == id && entry.kind == Kind::kCall;
     report_end(entry.cookie, entry.kind, answer_malformed ? Outcome::kError : outcome_of_others, why);
   }
-  closed_.bury(std::move(owned));
+  closed_.delete_later(std::move(owned));
 }
 
 // The connection was lost without an answer. What was in flight may have run. Whether the invoker crashed is
--- a/tests/controller/invoke_test.cpp
+++ b/tests/controller/invoke_test.cpp
@@ -395,7 +395,7 @@
   }
 }
 INSTANTIATE_TEST_SUITE_P(Invoke, EveryInvokeStep,
-                         testing::Combine(testing::ValuesIn(ledger::kSteps), testing::Bool()),
+                         testing::Combine(testing::ValuesIn(ledger::kCrashPoints), testing::Bool()),
                          [](const auto& info) {
                            std::string name = std::get<0>(info.param);
                            std::replace(name.begin(), name.end(), '-', '_');
@@ -499,7 +499,7 @@
   const auto other_settings = std::make_shared<const config::Settings>(*config::parse(text(1), "1").settings);
   store::MemoryDisk disk;
   store::MemoryStore store(fixture.net, disk);
-  ledger::Book book(fixture.net, store, {});
+  ledger::CallLedger book(fixture.net, store, {});
   ASSERT_FALSE(book.load());
   Log log;
   controller::Gateway other(fixture.net, other_settings, log, 9, 1, &book);
@@ -588,7 +588,7 @@
   struct Half : io::ConnectionEvents {
     std::string heard;
     std::size_t on_bytes(std::string_view b) override { return heard += b, b.size(); }
-    void on_closed(io::Closed) override {}
+    void on_closed(io::CloseReason) override {}
   } half;
   std::optional<Result> got;  // an open call keeps the gateway running meanwhile
   http::Exchange e(fixture.net, fixture.at, fixture.request("POST", "/v1/functions/gate/calls", {}, "x"), 20s,
