--- a/src/ledger/call_ledger.cpp
+++ b/src/ledger/call_ledger.cpp
@@ -6,11 +6,11 @@
 namespace laureltide::ledger {
 namespace {
 
-constexpr Duration kSweepEvery = std::chrono::seconds(1);
-constexpr Duration kSweepPause = std::chrono::milliseconds(2);
-constexpr std::size_t kSweptAtOnce = 200;
-constexpr Duration kBehind = std::chrono::milliseconds(20);
-constexpr const char* kTenure = "\x01tenure";  // a front's name never begins so
+constexpr Duration kSweepInterval = std::chrono::seconds(1);
+constexpr Duration kSweepBatchPause = std::chrono::milliseconds(2);
+constexpr std::size_t kSweepBatchSize = 200;
+constexpr Duration kFlushDelay = std::chrono::milliseconds(20);
+constexpr const char* kCoverageKeyPrefix = "\x01tenure";  // front names never begin with \x01
 
 std::string front_of(const std::string& key) { return split_key(key).first; }
 
@@ -21,11 +21,11 @@
       store_(store),
       options_(options),
       wall_start_ms_(host.unix_ms()),
-      start_(host.now()),
+      steady_start_(host.now()),
       sweep_(host.timer([this] { sweep(); })),
-      behind_timer_(host.timer([this] { flush(); })) {
+      flush_timer_(host.timer([this] { flush(); })) {
   store_.serve(this);
-  sweep_->start(kSweepEvery);
+  sweep_->start(kSweepInterval);
 }
 CallLedger::~CallLedger() {
   flush();
@@ -34,11 +34,12 @@
 }
 
 std::int64_t CallLedger::now_ms() const {
-  return wall_start_ms_ + std::chrono::duration_cast<std::chrono::milliseconds>(host_.now() - start_).count();
+  return wall_start_ms_ +
+         std::chrono::duration_cast<std::chrono::milliseconds>(host_.now() - steady_start_).count();
 }
 
 std::optional<std::string> CallLedger::load() {
-  std::optional<std::string> bad;
+  std::optional<std::string> error;
   const std::int64_t keep = std::chrono::duration_cast<std::chrono::milliseconds>(options_.keep).count();
   entries_.reserve(store_.entries());
   std::string last_front;
@@ -46,15 +47,15 @@
   std::string why;
   store_.load([&](std::string_view key, std::string_view value) {
     const std::string_view front = key.substr(0, key.find('\0'));
-    if (front == kTenure) {
-      tenures_[std::string(key.substr(front.size() + 1))] = value == "whole";
+    if (front == kCoverageKeyPrefix) {
+      coverage_complete_[std::string(key.substr(front.size() + 1))] = value == "whole";
       return;
     }
-    if (front.empty() || front[0] == '\x01' || bad) return;  // the store's own
+    if (front.empty() || front[0] == '\x01' || error) return;  // entries that are not records
     auto record = parse_record(value, why);
     if (!record) {
-      const auto [f, name] = split_key(key);
-      bad = "record of " + f + " / " + name + ": " + why;
+      const auto [front_name, name] = split_key(key);
+      error = "record of " + front_name + " / " + name + ": " + why;
       return;
     }
     if (!last_usage || front != last_front) last_front = front, last_usage = &usage_[last_front];
@@ -64,15 +65,15 @@
     e.stored = true;
     e.usage = last_usage;
     ++e.usage->records;
-    weigh(it->first, e);
-    // An owed call waits for this gateway without a limit; any other waits for its message or client, and
-    // expires.
+    update_size(it->first, e);
+    // An owed call is kept until this gateway handles it. Any other record is needed only if its message is
+    // redelivered or its client retries, so it expires.
     const bool waits = e.record.owed && !e.record.delivered;
     const std::int64_t until =
         e.record.keep_until_ms > 0 ? e.record.keep_until_ms : std::max(e.record.taken_ms, now_ms()) + keep;
     if (!waits) expire_at(it->first, e, until);
   });
-  return bad;
+  return error;
 }
 
 const Record* CallLedger::find(const std::string& key) const {
@@ -82,7 +83,7 @@
 
 bool CallLedger::active(const std::string& key) const {
   const auto it = entries_.find(key);
-  return it != entries_.end() && it->second.held;
+  return it != entries_.end() && it->second.active_here;
 }
 
 CallLedger::Entry* CallLedger::entry(const std::string& key) {
@@ -98,17 +99,17 @@
 std::vector<std::string> CallLedger::owed(const std::string& front) const {
   std::vector<std::pair<std::int64_t, std::string>> found;
   for (const auto& [key, e] : entries_)
-    if (!e.held && e.record.owed && !e.record.delivered && front_of(key) == front)
+    if (!e.active_here && e.record.owed && !e.record.delivered && front_of(key) == front)
       found.emplace_back(e.record.taken_ms, key);
-  std::sort(found.begin(), found.end());  // in the order in which they were taken
+  std::sort(found.begin(), found.end());  // by the time at which they were accepted
   std::vector<std::string> keys;
   for (auto& [at, key] : found) keys.push_back(std::move(key));
   return keys;
 }
 
-// ---- A call's life ----------------------------------------------------------------------------------------
+// ---- Progress of a call ---------------------------------------------------------------------------------
 
-void CallLedger::weigh(const std::string& key, Entry& e) {
+void CallLedger::update_size(const std::string& key, Entry& e) {
   if (!e.usage) {
     e.usage = &usage_[front_of(key)];
     ++e.usage->records;
@@ -120,38 +121,38 @@
 }
 
 void CallLedger::write(const std::string& key, Entry& e) {
-  weigh(key, e);
-  e.stored = true, e.behind = false;
-  write_record(scratch_, e.record);
-  store_.put(key, scratch_);
+  update_size(key, e);
+  e.stored = true, e.write_pending = false;
+  write_record(write_buffer_, e.record);
+  store_.put(key, write_buffer_);
 }
 
 // Delays a write that no commit waits for, and skips it if the record is removed in the meantime: an answer
 // whose message is acknowledged by then needs no record.
 void CallLedger::write_behind(const std::string& key, Entry& e) {
-  weigh(key, e);
-  if (std::exchange(e.behind, true)) return;
-  if (behind_.empty()) behind_timer_->start(kBehind);
-  behind_.push_back(key);
+  update_size(key, e);
+  if (std::exchange(e.write_pending, true)) return;
+  if (pending_writes_.empty()) flush_timer_->start(kFlushDelay);
+  pending_writes_.push_back(key);
 }
 
 void CallLedger::flush() {
-  for (const std::string& key : std::exchange(behind_, {}))
-    if (Entry* e = entry(key); e && e->behind) write(key, *e);
+  for (const std::string& key : std::exchange(pending_writes_, {}))
+    if (Entry* e = entry(key); e && e->write_pending) write(key, *e);
 }
 
-void CallLedger::commit(Done done, const char* then) {
+void CallLedger::commit(Done done, const char* crash_point_name) {
   ++commits_;
-  waiting_.push_back({std::move(done), then, false});
+  waiting_commits_.push_back({std::move(done), crash_point_name, false});
   store_.commit();
 }
 
 void CallLedger::on_durable(std::size_t commits) {
   const std::shared_ptr<bool> alive = alive_;
-  while (commits-- > 0 && !waiting_.empty()) {
-    const Waiting next = std::move(waiting_.front());
-    waiting_.pop_front();
-    if (next.then) crash_point(next.then);
+  while (commits-- > 0 && !waiting_commits_.empty()) {
+    const WaitingCommit next = std::move(waiting_commits_.front());
+    waiting_commits_.pop_front();
+    if (next.crash_point_name) crash_point(next.crash_point_name);
     if (next.done) next.done();
     if (!*alive) return;
   }
@@ -163,11 +164,11 @@
 }
 
 void CallLedger::take(const std::string& key, Record record, Done done) {
-  if (const auto old = entries_.find(key); old != entries_.end()) remove(old);
+  if (const auto existing = entries_.find(key); existing != entries_.end()) remove(existing);
   Entry& e = entries_[key];
   e.record = std::move(record);
-  e.held = true;
-  weigh(key, e);
+  e.active_here = true;
+  update_size(key, e);
   if (!e.record.owed) return;
   write(key, e);
   crash_point("take-queued");
@@ -177,7 +178,7 @@
 void CallLedger::resume(const std::string& key, bool fresh) {
   Entry* e = entry(key);
   if (!e) return;
-  e->held = true;
+  e->active_here = true;
   e->expires_ms = 0;
   if (fresh) e->record.attempts.clear();
 }
@@ -220,8 +221,8 @@
   }
   answer.at_ms = now_ms();
   e->record.answer = std::move(answer);
-  // An answer that leaves together with its acknowledgement needs no record of its own, unless there is one
-  // that would say something else.
+  // An answer that is sent together with the acknowledgement needs no write, unless the store already holds
+  // an older version of the record.
   if (!done && !e->stored) return;
   if (!done) {
     write_behind(key, *e);
@@ -231,7 +232,7 @@
   crash_point("answer-queued");
   if (!writable()) return done();  // failing writes must not delay answers
   commit(std::move(done), "answer-durable");
-  waiting_.back().impatient = true;
+  waiting_commits_.back().release_on_write_failure = true;
 }
 
 void CallLedger::delivered(const std::string& key, AfterDelivery how, std::int64_t keep_ms) {
@@ -250,7 +251,7 @@
   const std::int64_t keep =
       keep_ms > 0 ? keep_ms : std::chrono::duration_cast<std::chrono::milliseconds>(options_.keep).count();
   e.record.keep_until_ms = now_ms() + keep;
-  e.held = false;
+  e.active_here = false;
   write(key, e);
   expire_at(key, e, e.record.keep_until_ms);
   crash_point("delivered-queued");
@@ -260,7 +261,7 @@
   const auto it = entries_.find(key);
   if (it == entries_.end()) return;
   if (!it->second.stored) return remove(it);
-  it->second.held = false;
+  it->second.active_here = false;
   expire_at(key, it->second,
             now_ms() + std::chrono::duration_cast<std::chrono::milliseconds>(options_.keep).count());
 }
@@ -280,20 +281,20 @@
 
 void CallLedger::sweep() {
   const std::int64_t now = now_ms();
-  std::size_t turn = 0;
-  sweep_->start(kSweepEvery);
+  std::size_t processed = 0;
+  sweep_->start(kSweepInterval);
   while (!expiries_.empty() && expiries_.begin()->first <= now) {
     // Limits the work of one turn, so that many expiries at once don't block calls.
-    if (++turn > kSweptAtOnce) return sweep_->start(kSweepPause);
+    if (++processed > kSweepBatchSize) return sweep_->start(kSweepBatchPause);
     const auto [at, key] = *expiries_.begin();
     expiries_.erase(expiries_.begin());
     const auto it = entries_.find(key);
     if (it == entries_.end() || it->second.expires_ms != at) continue;
-    // The message may still be redelivered: the ledger no longer covers its queue completely.
+    // The message may still be redelivered, so the ledger no longer covers its queue completely.
     const std::string front = front_of(key);
-    if (const auto t = tenures_.find(front); t != tenures_.end() && t->second) {
+    if (const auto t = coverage_complete_.find(front); t != coverage_complete_.end() && t->second) {
       t->second = false;
-      store_.put(key_of(kTenure, front), "began");
+      store_.put(key_of(kCoverageKeyPrefix, front), "began");
     }
     remove(it);
   }
@@ -307,47 +308,48 @@
 // ---- Coverage -------------------------------------------------------------------------------------------
 
 Coverage CallLedger::coverage(const std::string& front) const {
-  const auto it = tenures_.find(front);
-  return it != tenures_.end() && it->second ? Coverage::kComplete : Coverage::kNone;
+  const auto it = coverage_complete_.find(front);
+  return it != coverage_complete_.end() && it->second ? Coverage::kComplete : Coverage::kNone;
 }
 
 void CallLedger::begin_exclusive_reading(const std::string& front) {
-  if (tenures_.emplace(front, false).second) store_.put(key_of(kTenure, front), "began");
+  if (coverage_complete_.emplace(front, false).second) store_.put(key_of(kCoverageKeyPrefix, front), "began");
 }
 
 void CallLedger::mark_complete(const std::string& front) {
-  const auto it = tenures_.find(front);
-  if (it == tenures_.end() || it->second) return;
+  const auto it = coverage_complete_.find(front);
+  if (it == coverage_complete_.end() || it->second) return;
   it->second = true;
-  store_.put(key_of(kTenure, front), "whole");
+  store_.put(key_of(kCoverageKeyPrefix, front), "whole");
 }
 
 void CallLedger::end_exclusive_reading(const std::string& front) {
-  if (tenures_.erase(front) > 0) store_.erase(key_of(kTenure, front));
+  if (coverage_complete_.erase(front) > 0) store_.erase(key_of(kCoverageKeyPrefix, front));
 }
 
-// ---- Trouble --------------------------------------------------------------------------------------------
+// ---- Write failures -------------------------------------------------------------------------------------
 
 std::string CallLedger::refusal_reason() const {
-  if (!writable()) return "the ledger cannot be written: " + trouble_;
+  if (!writable()) return "the ledger cannot be written: " + write_error_;
   if (full()) return "the ledger holds as much as it may (" + std::to_string(entries_.size()) + " records)";
   return {};
 }
 
 void CallLedger::on_write_failed(const std::string& why, bool permanent) {
-  const bool news = trouble_.empty();
-  trouble_ = why + (permanent ? "; the gateway must be restarted" : "");
-  // Give waiting answers now, because they would be late; after a crash they may be given a second time.
-  std::vector<Done> late;
-  for (Waiting& w : waiting_)
-    if (std::exchange(w.impatient, false)) late.push_back(std::exchange(w.done, nullptr)), w.then = nullptr;
-  for (const Done& done : late) done();
-  if (news && on_state) on_state(false);
+  const bool first_failure = write_error_.empty();
+  write_error_ = why + (permanent ? "; the gateway must be restarted" : "");
+  // Give waiting answers now instead of delaying them; after a crash they may be given a second time.
+  std::vector<Done> waiting_answers;
+  for (WaitingCommit& w : waiting_commits_)
+    if (std::exchange(w.release_on_write_failure, false))
+      waiting_answers.push_back(std::exchange(w.done, nullptr)), w.crash_point_name = nullptr;
+  for (const Done& done : waiting_answers) done();
+  if (first_failure && on_state) on_state(false);
 }
 
 void CallLedger::on_write_recovered() {
-  if (trouble_.empty()) return;
-  trouble_.clear();
+  if (write_error_.empty()) return;
+  write_error_.clear();
   if (on_state) on_state(true);
 }
 
--- a/src/ledger/call_ledger.h
+++ b/src/ledger/call_ledger.h
@@ -91,8 +91,8 @@
   void end_exclusive_reading(const std::string& front);  // others may read it from now on
 
   // ---- State ----
-  bool writable() const { return trouble_.empty(); }
-  const std::string& write_error() const { return trouble_; }
+  bool writable() const { return write_error_.empty(); }
+  const std::string& write_error() const { return write_error_; }
   bool full() const { return entries_.size() >= options_.most_records || bytes_ >= options_.most_bytes; }
   // Why calls that need a record must be refused now; empty if they may be accepted.
   std::string refusal_reason() const;
@@ -120,19 +120,19 @@
   struct Entry {
     Record record;
     std::size_t size = 0;
-    bool held = false;            // this process is running the call
-    bool stored = false;          // some state of it was passed to the store
-    bool behind = false;          // changed since then; a write is scheduled
+    bool active_here = false;     // this process is running the call
+    bool stored = false;          // a version of the record was passed to the store
+    bool write_pending = false;   // changed since then; a delayed write is scheduled
     std::int64_t expires_ms = 0;  // 0: doesn't expire
-    Usage* usage = nullptr;       // the total of its front
+    Usage* usage = nullptr;       // totals of its front
   };
   using Entries = std::unordered_map<std::string, Entry>;
   Entry* entry(const std::string& key);
   void write(const std::string& key, Entry& entry);
   void write_behind(const std::string& key, Entry& entry);
   void flush();
-  void weigh(const std::string& key, Entry& entry);
-  void commit(Done done, const char* then = nullptr);
+  void update_size(const std::string& key, Entry& entry);
+  void commit(Done done, const char* crash_point_name = nullptr);
   void expire_at(const std::string& key, Entry& entry, std::int64_t at_ms);
   void remove(Entries::iterator it);
   void sweep();
@@ -143,21 +143,21 @@
   Entries entries_;
   std::map<std::string, Usage> usage_;  // by front; bounded by the configured fronts
   std::multimap<std::int64_t, std::string> expiries_;
-  std::map<std::string, bool> tenures_;  // front to whether its coverage is complete
+  std::map<std::string, bool> coverage_complete_;  // by front that this gateway reads exclusively
   std::size_t bytes_ = 0;
   std::uint64_t commits_ = 0;
-  std::string trouble_;
-  struct Waiting {
+  std::string write_error_;
+  struct WaitingCommit {
     Done done;
-    const char* then = nullptr;  // the crash point reached when it is durable
-    bool impatient = false;      // an answer, which doesn't wait while writes fail
+    const char* crash_point_name = nullptr;  // the crash point reached when it is durable
+    bool release_on_write_failure = false;   // an answer, which is given at once when writes fail
   };
-  std::deque<Waiting> waiting_;  // for commits, in order
-  std::string scratch_;
+  std::deque<WaitingCommit> waiting_commits_;  // in the order of their commits
+  std::string write_buffer_;
   std::int64_t wall_start_ms_;
-  Time start_;
-  std::vector<std::string> behind_;
-  std::unique_ptr<io::Timer> sweep_, behind_timer_;
+  Time steady_start_;
+  std::vector<std::string> pending_writes_;
+  std::unique_ptr<io::Timer> sweep_, flush_timer_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/ledger/record.cpp
+++ b/src/ledger/record.cpp
@@ -10,14 +10,14 @@
 namespace laureltide::ledger {
 namespace {
 
-constexpr std::size_t kMostAttempts = 256;
-constexpr std::size_t kMostReplies = 64;
+constexpr std::size_t kMaxAttempts = 256;
+constexpr std::size_t kMaxReplies = 64;
 
-void put(Writer& w, std::string_view text) {
+void write_text(Writer& w, std::string_view text) {
   w.u32(static_cast<std::uint32_t>(text.size()));
   w.bytes(text);
 }
-std::string get(Reader& r) { return std::string(r.take(r.u32())); }
+std::string read_text(Reader& r) { return std::string(r.take(r.u32())); }
 
 std::uint64_t checksum(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
 
@@ -48,20 +48,21 @@
   out.reserve(record.size() + 64);
   Writer w(out);
   w.u8(kRecordLayout);
-  put(w, record.function), put(w, record.tenant), put(w, record.key), put(w, record.digest);
+  write_text(w, record.function), write_text(w, record.tenant), write_text(w, record.key),
+      write_text(w, record.digest);
   w.u64(static_cast<std::uint64_t>(record.taken_ms)), w.u64(static_cast<std::uint64_t>(record.give_up_ms));
   w.u8(record.owed);
-  put(w, record.body);
+  write_text(w, record.body);
   w.u16(static_cast<std::uint16_t>(record.replies.size()));
-  for (const ReplyTo& r : record.replies) put(w, r.to), put(w, r.correlation);
-  put(w, record.callback);
+  for (const ReplyTo& r : record.replies) write_text(w, r.to), write_text(w, r.correlation);
+  write_text(w, record.callback);
   w.u16(static_cast<std::uint16_t>(record.attempts.size()));
   for (const Attempt& a : record.attempts)
     w.u32(a.worker), w.u64(static_cast<std::uint64_t>(a.sent_ms)), w.u8(static_cast<std::uint8_t>(a.state));
   w.u8(record.answer.has_value());
   if (record.answer) {
     w.u8(static_cast<std::uint8_t>(record.answer->kind));
-    put(w, record.answer->reason), put(w, record.answer->body);
+    write_text(w, record.answer->reason), write_text(w, record.answer->body);
     w.u64(static_cast<std::uint64_t>(record.answer->retry_after_ms));
     w.u64(static_cast<std::uint64_t>(record.answer->at_ms));
   }
@@ -90,21 +91,22 @@
   Reader r(content);
   Record record;
   r.u8();
-  record.function = get(r), record.tenant = get(r), record.key = get(r), record.digest = get(r);
+  record.function = read_text(r), record.tenant = read_text(r), record.key = read_text(r),
+  record.digest = read_text(r);
   record.taken_ms = static_cast<std::int64_t>(r.u64()),
   record.give_up_ms = static_cast<std::int64_t>(r.u64());
   record.owed = r.u8() != 0;
-  record.body = get(r);
+  record.body = read_text(r);
   const std::size_t replies = r.u16();
-  if (replies > kMostReplies) r.fail();
+  if (replies > kMaxReplies) r.fail();
   for (std::size_t i = 0; i < replies && r.ok(); ++i) {
     ReplyTo to;
-    to.to = get(r), to.correlation = get(r);
+    to.to = read_text(r), to.correlation = read_text(r);
     record.replies.push_back(std::move(to));
   }
-  record.callback = get(r);
+  record.callback = read_text(r);
   const std::size_t attempts = r.u16();
-  if (attempts > kMostAttempts) r.fail();
+  if (attempts > kMaxAttempts) r.fail();
   for (std::size_t i = 0; i < attempts && r.ok(); ++i) {
     Attempt a;
     a.worker = r.u32(), a.sent_ms = static_cast<std::int64_t>(r.u64());
@@ -118,7 +120,7 @@
     const std::uint8_t kind = r.u8();
     if (kind > static_cast<std::uint8_t>(Answer::Kind::kFailed)) r.fail();
     a.kind = static_cast<Answer::Kind>(kind);
-    a.reason = get(r), a.body = get(r);
+    a.reason = read_text(r), a.body = read_text(r);
     a.retry_after_ms = static_cast<std::int64_t>(r.u64()), a.at_ms = static_cast<std::int64_t>(r.u64());
     record.answer = std::move(a);
   }
