--- a/src/base/bytes.h
+++ b/src/base/bytes.h
@@ -1,7 +1,8 @@
 // Big-endian reader and writer over byte strings, the only place that touches raw offsets.
 //
-// A Reader never throws and never reads past its end: the first read that does not fit makes it fail, all
-// later reads give zero or nothing, and ok() tells. Check ok() once, after a whole structure has been read.
+// A Reader never throws and never reads past its end. After the first read past the end, ok() is false and
+// all reads return zero or an empty view, so it is enough to check ok() once after a whole structure was
+// read.
 #pragma once
 
 #include <bit>
@@ -12,6 +13,7 @@
 
 namespace laureltide {
 
+// Reads big-endian numbers and byte strings; see above for how it fails.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
@@ -23,7 +25,7 @@
   float f32() { return std::bit_cast<float>(u32()); }
   double f64() { return std::bit_cast<double>(u64()); }
 
-  // The view points into the reader's bytes.
+  // The result points into the bytes that the reader was made with.
   std::string_view take(std::size_t n) {
     if (n > bytes_.size()) return fail(), std::string_view{};
     const std::string_view taken = bytes_.substr(0, n);
@@ -48,6 +50,7 @@
   bool ok_ = true;
 };
 
+// Appends big-endian numbers and byte strings to a string.
 class Writer {
  public:
   // Appends to `out`, which must outlive the writer.
@@ -61,7 +64,8 @@
   void f64(double v) { u64(std::bit_cast<std::uint64_t>(v)); }
   void bytes(std::string_view v) { out_.append(v); }
 
-  // For lengths that are known only once what follows has been written.
+  // For a length that is known only after the bytes that it counts: mark_u32 reserves the field, and fill_u32
+  // sets it to the number of bytes that were written since.
   std::size_t mark_u32() { return u32(0), out_.size(); }
   void fill_u32(std::size_t mark) {
     const auto length = static_cast<std::uint32_t>(out_.size() - mark);
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -61,15 +61,15 @@
   void load(const std::function<void(std::string_view, std::string_view)>& each) override;
 
  private:
-  void gather();
-  void sync();
+  void start_sync();
+  void finish_sync();
 
   io::Host& host_;
   MemoryDisk& disk_;
   StoreEvents* events_ = nullptr;
-  std::vector<std::pair<std::string, std::optional<std::string>>> given_, syncing_;
-  std::size_t waiting_ = 0, synced_ = 0;
-  bool busy_ = false, troubled_ = false;
+  std::vector<std::pair<std::string, std::optional<std::string>>> pending_operations_, syncing_operations_;
+  std::size_t pending_commits_ = 0, syncing_commits_ = 0;
+  bool sync_in_flight_ = false, write_failed_ = false;
   std::unique_ptr<io::Timer> timer_;
 };
 
