--- a/tests/ledger/record_test.cpp
+++ b/tests/ledger/record_test.cpp
@@ -1,4 +1,5 @@
-// A record's bytes: what is written is read, and nothing else is.
+// Tests of the record format: a written record parses to an equal one, and damaged or newer bytes are
+// rejected.
 #include "ledger/record.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +7,7 @@
 namespace laureltide::ledger {
 namespace {
 
-Record whole() {
+Record full_record() {
   Record r;
   r.function = "gate-0", r.tenant = "volta", r.key = "k\0k", r.digest = digest_of({"a", "b"});
   r.taken_ms = 1'700'000'000'000, r.give_up_ms = r.taken_ms + 2500, r.owed = true;
@@ -19,35 +20,35 @@
   return r;
 }
 
-TEST(Record, GoesRound) {
-  for (const Record& r : {Record{}, whole()}) {
+TEST(Record, ParsesWhatItWrote) {
+  for (const Record& r : {Record{}, full_record()}) {
     std::string why;
-    const auto again = parse_record(write_record(r), why);
-    ASSERT_TRUE(again) << why;
-    EXPECT_EQ(*again, r);
+    const auto parsed = parse_record(write_record(r), why);
+    ASSERT_TRUE(parsed) << why;
+    EXPECT_EQ(*parsed, r);
   }
 }
 
-TEST(Record, EveryCutAndEveryFlippedBitIsSeen) {
-  const std::string bytes = write_record(whole());
+TEST(Record, RejectsEveryTruncationAndBitFlip) {
+  const std::string bytes = write_record(full_record());
   std::string why;
   for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(parse_record(bytes.substr(0, n), why)) << n;
   for (std::size_t n = 0; n < bytes.size() * 8; ++n) {
-    std::string bad = bytes;
-    bad[n / 8] = static_cast<char>(bad[n / 8] ^ (1 << (n % 8)));
-    EXPECT_FALSE(parse_record(bad, why)) << n;
+    std::string damaged = bytes;
+    damaged[n / 8] = static_cast<char>(damaged[n / 8] ^ (1 << (n % 8)));
+    EXPECT_FALSE(parse_record(damaged, why)) << n;
     EXPECT_FALSE(why.empty());
   }
 }
 
-TEST(Record, ALaterLayoutIsNamed) {
-  std::string bytes = write_record(whole()), why;
+TEST(Record, RejectsNewerLayoutAndSaysSo) {
+  std::string bytes = write_record(full_record()), why;
   bytes[0] = kRecordLayout + 1;
   EXPECT_FALSE(parse_record(bytes, why));
   EXPECT_NE(why.find("newer"), std::string::npos) << why;
 }
 
-TEST(Record, KeysAndDigestsTellPartsApart) {
+TEST(Record, KeysAndDigestsSeparateTheirParts) {
   EXPECT_EQ(split_key(key_of("amqp/main/q", "c-1")),
             std::pair(std::string("amqp/main/q"), std::string("c-1")));
   EXPECT_EQ(split_key(key_of("f", std::string("a\0b", 3))).second, std::string("a\0b", 3));
