--- a/tests/ledger/restart_test.cpp
+++ b/tests/ledger/restart_test.cpp
@@ -104,12 +104,12 @@
   // A crash point that is never reached proves nothing.
   const bool needs_early_acknowledgement =
       std::string(step).starts_with("take") || std::string(step) == "owed-found";
-  const bool needs_separate_commit = needs_early_acknowledgement || std::string(step) == "answer-durable";
+  const bool excludes_transaction = needs_early_acknowledgement || std::string(step) == "answer-durable";
   const bool needs_transaction = std::string(step).starts_with("commit");
   const bool expected = std::string(step) == "callback-given" || std::string(step) == "owed-found" ? false
                         : needs_transaction           ? mode == Mode::kTransaction
                         : needs_early_acknowledgement ? mode == Mode::kTake
-                        : needs_separate_commit       ? mode != Mode::kTransaction
+                        : excludes_transaction        ? mode != Mode::kTransaction
                                                       : true;
   if (expected) {
     EXPECT_GE(kills, 3) << step << " " << settings_of(mode);
--- a/tests/store/lmdb_test.cpp
+++ b/tests/store/lmdb_test.cpp
@@ -1,5 +1,5 @@
-// The store on a real disk: what is told as kept is there after a kill, and damage is said before it does
-// harm.
+// Tests of the LMDB store on a real disk: commits that were reported durable survive a kill, and damage is
+// reported when the store is opened.
 #include "store/lmdb.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 namespace laureltide::store {
 namespace {
 
-using namespace ledger;  // its records are what is kept here
+using namespace ledger;  // the stored values are the ledger's records
 
 namespace fs = std::filesystem;
 using namespace std::chrono_literals;
@@ -30,24 +30,24 @@
   return o;
 }
 
-// Brings what the store's thread says to the test's.
-struct Mail {
+// Runs the functions that the store's thread posts on the test's thread.
+struct EventQueue {
   std::mutex mutex;
-  std::condition_variable came;
-  std::vector<std::function<void()>> all;
+  std::condition_variable posted;
+  std::vector<std::function<void()>> pending;
   std::function<void(std::function<void()>)> post() {
     return [this](std::function<void()> what) {
       const std::lock_guard lock(mutex);
-      all.push_back(std::move(what));
-      came.notify_all();
+      pending.push_back(std::move(what));
+      posted.notify_all();
     };
   }
   bool run_until(const std::function<bool()>& done) {
     const auto until = std::chrono::steady_clock::now() + 30s;
     while (!done()) {
       std::unique_lock lock(mutex);
-      if (!came.wait_until(lock, until, [this] { return !all.empty(); })) return false;
-      const auto now = std::exchange(all, {});
+      if (!posted.wait_until(lock, until, [this] { return !pending.empty(); })) return false;
+      const auto now = std::exchange(pending, {});
       lock.unlock();
       for (const auto& what : now) what();
     }
@@ -55,29 +55,29 @@
   }
 };
 
-struct Lmdb : testing::Test, StoreEvents {
+struct LmdbStoreTest : testing::Test, StoreEvents {
   std::string dir;
-  Mail mail;
-  std::vector<std::string> troubles;
-  int well = 0;
-  Lmdb() {
+  EventQueue events;
+  std::vector<std::string> write_errors;
+  int recoveries = 0;
+  LmdbStoreTest() {
     std::string pattern = (fs::temp_directory_path() / "laureltide-ledger-XXXXXX").string();
     dir = mkdtemp(pattern.data());
   }
-  ~Lmdb() override { fs::remove_all(dir); }
-  void on_write_failed(const std::string& why, bool) override { troubles.push_back(why); }
-  void on_write_recovered() override { ++well; }
+  ~LmdbStoreTest() override { fs::remove_all(dir); }
+  void on_write_failed(const std::string& why, bool) override { write_errors.push_back(why); }
+  void on_write_recovered() override { ++recoveries; }
   void on_durable(std::size_t commits) override { durable += commits; }
   std::size_t durable = 0;
-  // All that was given before is on disk.
-  void keep(Store& store) {
+  // Commits all earlier operations and waits until they are durable.
+  void commit_and_wait(Store& store) {
     const std::size_t wanted = durable + 1;
     store.commit();
-    ASSERT_TRUE(mail.run_until([&] { return durable >= wanted; }));
+    ASSERT_TRUE(events.run_until([&] { return durable >= wanted; }));
   }
 
   OpenResult open(std::size_t most_mb = 64) {
-    OpenResult opened = open_lmdb(options_in(dir + "/l", most_mb), mail.post());
+    OpenResult opened = open_lmdb(options_in(dir + "/l", most_mb), events.post());
     if (opened.store) opened.store->serve(this);
     return opened;
   }
@@ -86,7 +86,7 @@
     r.function = "gate", r.body = body, r.owed = true;
     return write_record(r);
   }
-  static std::map<std::string, std::string> all(Store& store) {
+  static std::map<std::string, std::string> all_entries(Store& store) {
     std::map<std::string, std::string> found;
     store.load([&](std::string_view k, std::string_view v) { found.emplace(k, v); });
     return found;
@@ -96,59 +96,59 @@
     ASSERT_TRUE(o.store) << o.why;
     for (int i = 0; i < records; ++i)
       o.store->put(key_of("f", std::to_string(i)), value(std::string(100, 'x')));
-    keep(*o.store);
+    commit_and_wait(*o.store);
   }
-  std::string file() const { return dir + "/l/data.mdb"; }
+  std::string data_file() const { return dir + "/l/data.mdb"; }
 };
 
-TEST_F(Lmdb, KeepsTheLastWordOnEachKey) {
+TEST_F(LmdbStoreTest, KeepsLastOperationOnEachKey) {
   {
     OpenResult o = open();
     ASSERT_TRUE(o.store) << o.why;
     o.store->put("a", value("1")), o.store->put("a", value("2")), o.store->put("b", value());
     o.store->erase("b"), o.store->erase("never there");
-    keep(*o.store);
+    commit_and_wait(*o.store);
   }
   OpenResult o = open();
   ASSERT_TRUE(o.store) << o.why;
-  EXPECT_EQ(all(*o.store), (std::map<std::string, std::string>{{"a", value("2")}}));
+  EXPECT_EQ(all_entries(*o.store), (std::map<std::string, std::string>{{"a", value("2")}}));
 }
 
-TEST_F(Lmdb, EveryCommitIsTold) {
+TEST_F(LmdbStoreTest, ReportsEveryCommit) {
   OpenResult o = open();
   for (int i = 0; i < 200; ++i) {
     o.store->put("k" + std::to_string(i), value());
     o.store->commit();
   }
-  ASSERT_TRUE(mail.run_until([&] { return durable == 200; }));
-  EXPECT_EQ(all(*o.store).size(), 200U);
+  ASSERT_TRUE(events.run_until([&] { return durable == 200; }));
+  EXPECT_EQ(all_entries(*o.store).size(), 200U);
 }
 
-TEST_F(Lmdb, LongNamesAreKeptWhole) {
+TEST_F(LmdbStoreTest, KeepsLongKeysApart) {
   const std::string one = key_of("f", std::string(600, 'n') + "1"),
                     two = key_of("f", std::string(600, 'n') + "2");
   {
     OpenResult o = open();
     o.store->put(one, value("1")), o.store->put(two, value("2"));
-    keep(*o.store);
+    commit_and_wait(*o.store);
   }
   OpenResult o = open();
-  const auto found = all(*o.store);
+  const auto found = all_entries(*o.store);
   ASSERT_EQ(found.size(), 2U);
   EXPECT_EQ(found.at(one), value("1"));
 }
 
-// The child is killed outright, over and over; whatever it had told as kept must be there.
-TEST_F(Lmdb, WhatWasToldAsKeptSurvivesAKill) {
+// Kills a writing child process repeatedly; all commits that it reported as durable must be there.
+TEST_F(LmdbStoreTest, ReportedCommitsSurviveKill) {
   for (int round = 0; round < 8; ++round) {
     int pipes[2];
     ASSERT_EQ(pipe(pipes), 0);
     const pid_t child = fork();
     if (child == 0) {
-      Mail own;
-      OpenResult opened = open_lmdb(options_in(dir + "/l"), own.post());
+      EventQueue child_events;
+      OpenResult opened = open_lmdb(options_in(dir + "/l"), child_events.post());
       if (!opened.store) _exit(1);
-      struct Told : StoreEvents {
+      struct ChildEvents : StoreEvents {
         int last = -1, pipe = -1;
         void on_write_failed(const std::string&, bool) override {}
         void on_write_recovered() override {}
@@ -159,35 +159,37 @@
             static_cast<void>(ignored);
           }
         }
-      } told;
-      told.pipe = pipes[1];
-      opened.store->serve(&told);
+      } listener;
+      listener.pipe = pipes[1];
+      opened.store->serve(&listener);
       for (int i = 0; i < 100'000; ++i) {
         opened.store->put(key_of("r" + std::to_string(round), std::to_string(i)), value());
         opened.store->commit();
-        if (i % 50 == 0) own.run_until([&] { return told.last >= i; });
+        if (i % 50 == 0) child_events.run_until([&] { return listener.last >= i; });
       }
       _exit(0);
     }
     close(pipes[1]);
-    int last = -1, next = 0;
-    while (last < 20 + 37 * round && read(pipes[0], &next, sizeof next) == sizeof next) last = next;
+    int last = -1, received = 0;
+    while (last < 20 + 37 * round && read(pipes[0], &received, sizeof received) == sizeof received)
+      last = received;
     kill(child, SIGKILL);
-    while (read(pipes[0], &next, sizeof next) == sizeof next) last = next;  // what it still said in time
+    while (read(pipes[0], &received, sizeof received) == sizeof received)
+      last = received;  // reported before the kill
     close(pipes[0]);
     int status = 0;
     ASSERT_EQ(waitpid(child, &status, 0), child);
     ASSERT_TRUE(WIFSIGNALED(status));
     OpenResult o = open();
     ASSERT_TRUE(o.store) << o.why;
-    const auto found = all(*o.store);
+    const auto found = all_entries(*o.store);
     for (int i = 0; i <= last; ++i)
       ASSERT_TRUE(found.contains(key_of("r" + std::to_string(round), std::to_string(i))))
           << round << " " << i;
   }
 }
 
-TEST_F(Lmdb, OneWriterAtATime) {
+TEST_F(LmdbStoreTest, RefusesSecondWriter) {
   OpenResult first = open();
   ASSERT_TRUE(first.store);
   OpenResult second = open();
@@ -195,29 +197,29 @@
   EXPECT_NE(second.why.find("in use by another process"), std::string::npos) << second.why;
 }
 
-TEST_F(Lmdb, ANewerDirectoryIsLeftAlone) {
+TEST_F(LmdbStoreTest, RefusesNewerVersionAndLeavesItUnchanged) {
   fill();
-  const auto size = fs::file_size(file());
+  const auto size = fs::file_size(data_file());
   std::ofstream(dir + "/l/version") << "laureltide-ledger 2\n";
   OpenResult o = open();
   EXPECT_FALSE(o.store);
   EXPECT_NE(o.why.find("version 2, newer than this program's 1"), std::string::npos) << o.why;
-  EXPECT_EQ(fs::file_size(file()), size);
+  EXPECT_EQ(fs::file_size(data_file()), size);
 }
 
-TEST_F(Lmdb, ALostFileIsNotTakenForANewLedger) {
+TEST_F(LmdbStoreTest, ReportsLostDataFileInsteadOfStartingEmpty) {
   fill();
-  fs::resize_file(file(), 0);
+  fs::resize_file(data_file(), 0);
   EXPECT_NE(open().why.find("empty, though a ledger was made here"), std::string::npos);
   fs::remove(dir + "/l/version");
   EXPECT_NE(open().why.find("no readable file 'version'"), std::string::npos);
 }
 
-TEST_F(Lmdb, ACutFileIsSaidAndDoesNotCrashAnyone) {
+TEST_F(LmdbStoreTest, ReportsTruncatedFileWithoutCrashing) {
   fill();
-  const auto size = fs::file_size(file());
+  const auto size = fs::file_size(data_file());
   for (const double part : {0.9, 0.5, 0.1}) {
-    fs::resize_file(file(), static_cast<std::uintmax_t>(static_cast<double>(size) * part) / 4096 * 4096);
+    fs::resize_file(data_file(), static_cast<std::uintmax_t>(static_cast<double>(size) * part) / 4096 * 4096);
     const OpenResult o = open();
     EXPECT_FALSE(o.store) << part;
     EXPECT_NE(o.why.find("cut off"), std::string::npos) << o.why;
@@ -225,120 +227,121 @@
   }
 }
 
-// Pages of noise where pages of data were: said by a child that reads first, or by a record's own checksum.
-TEST_F(Lmdb, DamagedPagesAreSaid) {
+// Overwrites each page with noise. The scan in a child process or a record's checksum must detect it.
+TEST_F(LmdbStoreTest, ReportsDamagedPages) {
   fill();
-  std::string whole;
+  std::string contents;
   {
-    std::ifstream in(file(), std::ios::binary);
-    whole.assign(std::istreambuf_iterator<char>(in), {});
+    std::ifstream in(data_file(), std::ios::binary);
+    contents.assign(std::istreambuf_iterator<char>(in), {});
   }
-  std::size_t seen = 0, pages = 0;
-  for (std::size_t at = 2 * 4096; at + 4096 <= whole.size(); at += 4096) {
-    std::string bad = whole;
-    for (std::size_t i = 0; i < 4096; ++i) bad[at + i] = static_cast<char>(i * 37 + at / 4096);
-    std::ofstream(file(), std::ios::binary | std::ios::trunc) << bad;
+  std::size_t detected = 0, pages = 0;
+  for (std::size_t at = 2 * 4096; at + 4096 <= contents.size(); at += 4096) {
+    std::string damaged = contents;
+    for (std::size_t i = 0; i < 4096; ++i) damaged[at + i] = static_cast<char>(i * 37 + at / 4096);
+    std::ofstream(data_file(), std::ios::binary | std::ios::trunc) << damaged;
     const OpenResult o = open();
     ++pages;
-    seen += !o.store;
+    detected += !o.store;
   }
-  std::ofstream(file(), std::ios::binary | std::ios::trunc) << whole;
+  std::ofstream(data_file(), std::ios::binary | std::ios::trunc) << contents;
   EXPECT_TRUE(open().store);
-  // Pages that no record uses may hold anything; most are in use.
-  EXPECT_GE(seen, pages / 2) << pages;
+  // Damage to pages that no record uses is not detected; most pages are in use.
+  EXPECT_GE(detected, pages / 2) << pages;
 }
 
-// The last commit was torn: its meta page is noise, and the one before counts.
-TEST_F(Lmdb, ATornLastCommitLeavesTheOneBefore) {
+// The last commit was torn: its meta page is damaged, and the previous commit is used.
+TEST_F(LmdbStoreTest, FallsBackToPreviousCommitAfterTornOne) {
   fill();
   {
     OpenResult o = open();
     o.store->put(key_of("f", "last"), value());
-    keep(*o.store);
+    commit_and_wait(*o.store);
   }
-  std::string whole;
+  std::string contents;
   {
-    std::ifstream in(file(), std::ios::binary);
-    whole.assign(std::istreambuf_iterator<char>(in), {});
+    std::ifstream in(data_file(), std::ios::binary);
+    contents.assign(std::istreambuf_iterator<char>(in), {});
   }
-  int stood = 0;
+  int readable = 0;
   for (const std::size_t meta : {std::size_t{0}, std::size_t{4096}}) {
-    std::string torn = whole;
+    std::string torn = contents;
     for (std::size_t i = 100; i < 160; ++i)
-      torn[meta + i] = 0;  // counters of the meta page: as before the first commit
-    std::ofstream(file(), std::ios::binary | std::ios::trunc) << torn;
+      torn[meta + i] = 0;  // the meta page's counters, as before the first commit
+    std::ofstream(data_file(), std::ios::binary | std::ios::trunc) << torn;
     OpenResult o = open();
     if (!o.store) continue;
-    const auto found = all(*o.store);
-    stood += found.size() >= 500;
+    const auto found = all_entries(*o.store);
+    readable += found.size() >= 500;
   }
-  EXPECT_GE(stood, 1);
+  EXPECT_GE(readable, 1);
 }
 
-TEST_F(Lmdb, AFullStoreWaitsAndGoesOn) {
+TEST_F(LmdbStoreTest, RetriesWhenFullUntilSpaceIsFreed) {
   OpenResult o = open(1);
   ASSERT_TRUE(o.store) << o.why;
   for (int i = 0; i < 40; ++i) o.store->put("big" + std::to_string(i), value(std::string(100'000, 'x')));
   o.store->commit();
-  ASSERT_TRUE(mail.run_until([&] { return !troubles.empty(); }));
+  ASSERT_TRUE(events.run_until([&] { return !write_errors.empty(); }));
   EXPECT_EQ(durable, 0U);
-  EXPECT_NE(troubles[0].find("MDB_MAP_FULL"), std::string::npos) << troubles[0];
-  // Room is made by what is erased meanwhile, and the commit is told then.
+  EXPECT_NE(write_errors[0].find("MDB_MAP_FULL"), std::string::npos) << write_errors[0];
+  // Erasures free space in the meantime, and the commit is reported after that.
   for (int i = 1; i < 40; ++i) o.store->erase("big" + std::to_string(i));
-  ASSERT_TRUE(mail.run_until([&] { return durable == 1; }));
-  EXPECT_EQ(well, 1);
-  EXPECT_EQ(all(*o.store).size(), 1U);
+  ASSERT_TRUE(events.run_until([&] { return durable == 1; }));
+  EXPECT_EQ(recoveries, 1);
+  EXPECT_EQ(all_entries(*o.store).size(), 1U);
 }
 
-TEST_F(Lmdb, ADirectoryThatCannotBeWrittenIsSaid) {
+TEST_F(LmdbStoreTest, ReportsDirectoryThatCannotBeCreated) {
   std::ofstream(dir + "/l") << "a file stands there";
   const OpenResult o = open();
   EXPECT_FALSE(o.store);
   EXPECT_NE(o.why.find(dir + "/l"), std::string::npos) << o.why;
 }
 
-// A disk that refuses writes for another reason than space: nothing more is told as kept, for good.
-TEST_F(Lmdb, AWriteThatFailsIsSaidForGood) {
+// A write that fails for another reason than lack of space is a permanent failure: no commit is reported as
+// durable afterwards.
+TEST_F(LmdbStoreTest, ReportsPermanentWriteFailure) {
   fill(10);
   int pipes[2];
   ASSERT_EQ(pipe(pipes), 0);
   const pid_t child = fork();
   if (child == 0) {
     signal(SIGXFSZ, SIG_IGN);
-    Mail own;
+    EventQueue child_events;
     LmdbOptions o;
     o.directory = dir + "/l", o.most_mb = 64;
-    OpenResult opened = open_lmdb(o, own.post());
-    struct Heard : StoreEvents {
-      bool for_good = false, well = false, kept = false;
-      void on_durable(std::size_t) override { kept = true; }
-      void on_write_failed(const std::string&, bool good) override { for_good = good; }
-      void on_write_recovered() override { well = true; }
-    } heard;
-    opened.store->serve(&heard);
-    const rlimit limit{fs::file_size(file()), fs::file_size(file())};
+    OpenResult opened = open_lmdb(o, child_events.post());
+    struct ChildEvents : StoreEvents {
+      bool permanent_failure = false, recovered = false, durable = false;
+      void on_durable(std::size_t) override { durable = true; }
+      void on_write_failed(const std::string&, bool permanent) override { permanent_failure = permanent; }
+      void on_write_recovered() override { recovered = true; }
+    } listener;
+    opened.store->serve(&listener);
+    const rlimit limit{fs::file_size(data_file()), fs::file_size(data_file())};
     setrlimit(RLIMIT_FSIZE, &limit);
     for (int i = 0; i < 100; ++i) opened.store->put("k" + std::to_string(i), value(std::string(4000, 'x')));
     opened.store->commit();
-    own.run_until([&] { return heard.for_good || heard.kept; });
-    const char said = heard.for_good && !heard.kept ? 'y' : 'n';
-    const ssize_t ignored = write(pipes[1], &said, 1);
+    child_events.run_until([&] { return listener.permanent_failure || listener.durable; });
+    const char reported = listener.permanent_failure && !listener.durable ? 'y' : 'n';
+    const ssize_t ignored = write(pipes[1], &reported, 1);
     _exit(ignored == 1 ? 0 : 1);
   }
   close(pipes[1]);
-  char said = '?';
-  ASSERT_EQ(read(pipes[0], &said, 1), 1);
+  char reported = '?';
+  ASSERT_EQ(read(pipes[0], &reported, 1), 1);
   close(pipes[0]);
   int status = 0;
   waitpid(child, &status, 0);
-  EXPECT_EQ(said, 'y');
-  OpenResult o = open();  // what was kept before is there
+  EXPECT_EQ(reported, 'y');
+  OpenResult o = open();  // earlier records are still there
   ASSERT_TRUE(o.store) << o.why;
-  EXPECT_EQ(all(*o.store).size(), 10U);
+  EXPECT_EQ(all_entries(*o.store).size(), 10U);
 }
 
-// A read-only disk, as whoever may not write there sees it.
-TEST_F(Lmdb, AReadOnlyDirectoryIsSaid) {
+// A directory in which the user may not write.
+TEST_F(LmdbStoreTest, ReportsReadOnlyDirectory) {
   fill(10);
   for (const auto& entry : fs::directory_iterator(dir + "/l"))
     fs::permissions(entry.path(), fs::perms::owner_read | fs::perms::others_read);
@@ -366,7 +369,7 @@
   EXPECT_TRUE(open().store);
 }
 
-TEST_F(Lmdb, CompactCopiesWhileItIsInUse) {
+TEST_F(LmdbStoreTest, CompactsWhileInUse) {
   fill();
   OpenResult o = open();
   ASSERT_TRUE(o.store);
@@ -375,7 +378,7 @@
   const ScanResult w = scan(options_in(dir + "/copy"), [&](auto, auto) { ++n; });
   EXPECT_EQ(w.why, "");
   EXPECT_EQ(n, 500U);
-  EXPECT_NE(copy_compacted(options_in(dir + "/l"), dir + "/copy"), "");  // never over another
+  EXPECT_NE(copy_compacted(options_in(dir + "/l"), dir + "/copy"), "");  // refuses to overwrite another store
 }
 
 }  // namespace
